--- a/libs/agent_core/src/activation_flow.cpp
+++ b/libs/agent_core/src/activation_flow.cpp
@@ -100,7 +100,7 @@
         open_gate(state, model);
         return false;
     }
-    if (!weights::is_whole(state.weights.store, wanted.digest))
+    if (!weights::is_complete(state.weights.store, wanted.digest))
     {
         open_gate(state, model);
         return false;
--- a/libs/agent_core/src/rollout_flow.cpp
+++ b/libs/agent_core/src/rollout_flow.cpp
@@ -144,7 +144,7 @@
     // An agent whose own chunks are late lets those behind it go first and
     // waits for them in turn, so that no more move at once than may.
     auto const passes = !reply->active() &&
-                        !weights::is_whole(state.weights.store, digest) &&
+                        !weights::is_complete(state.weights.store, digest) &&
                         !state.weights.switching.contains(query.model());
     if (passes)
     {
--- a/libs/agent_core/src/transfer_flow.cpp
+++ b/libs/agent_core/src/transfer_flow.cpp
@@ -65,7 +65,7 @@
     transfer.last_chunk = now;
     weights::on_chunk_held(state.weights.uploads, digest, index);
     send_uploads(state, now, out);
-    if (weights::is_whole(state.weights.store, digest))
+    if (weights::is_complete(state.weights.store, digest))
     {
         finish_transfer(state, digest, now, out);
     }
@@ -285,7 +285,7 @@
     }
     for (auto const& model : part->models)
     {
-        if (!weights::is_whole(state.weights.store, model.digest) &&
+        if (!weights::is_complete(state.weights.store, model.digest) &&
             !state.weights.transfers.contains(model.digest))
         {
             start_transfer(state, model.digest, now, out);
--- a/libs/agent_core/tests/burst_tests.cpp
+++ b/libs/agent_core/tests/burst_tests.cpp
@@ -353,7 +353,7 @@
         test.fleet.run(seconds(30));
         for (auto const& name : test.fleet.names())
         {
-            auto const whole = weights::is_whole(
+            auto const whole = weights::is_complete(
                 test.fleet.core(name).weights.store, test.version.digest);
             EXPECT_EQ(whole, !name.starts_with("b")) << name;
         }
--- a/libs/gateway/src/agent_context.cpp
+++ b/libs/gateway/src/agent_context.cpp
@@ -147,7 +147,7 @@
     auto const& targets = targets_of(state);
     for (auto& [version, held] : state.versions)
     {
-        if (held.whole || !weights::is_whole(held.transfer))
+        if (held.whole || !weights::is_complete(held.transfer))
         {
             continue;
         }
--- a/libs/gateway/src/version_fetch.cpp
+++ b/libs/gateway/src/version_fetch.cpp
@@ -66,7 +66,7 @@
         this->fetch_manifest(version);
         return;
     }
-    if (chunks && !weights::is_whole(held.transfer))
+    if (chunks && !weights::is_complete(held.transfer))
     {
         this->ask_for_chunks(version);
     }
@@ -456,7 +456,7 @@
 {
     auto& state = *this->context;
     auto& held = state.versions[version];
-    auto const was_whole = weights::is_whole(held.transfer);
+    auto const was_whole = weights::is_complete(held.transfer);
     auto const good = weights::deliver(
         held.transfer, state.sources, index, std::move(bytes), clock::now());
     if (!good)
@@ -469,7 +469,7 @@
     {
         held.last_news = clock::now();
     }
-    if (good && !was_whole && weights::is_whole(held.transfer))
+    if (good && !was_whole && weights::is_complete(held.transfer))
     {
         kernel::log_event(
             kernel::event_id::transfer_finished, {{"version", version}});
--- a/libs/weights/include/weights/chunk_store.hpp
+++ b/libs/weights/include/weights/chunk_store.hpp
@@ -52,7 +52,7 @@
     chunk_store const& store, std::string const& digest, std::uint32_t index);
 
 // Whether all chunks are there: only then may the engine be ordered to load.
-bool is_whole(chunk_store const& store, std::string const& digest);
+bool is_complete(chunk_store const& store, std::string const& digest);
 
 // Drops a version and frees its bytes.
 void remove_version(chunk_store& store, std::string const& digest);
--- a/libs/weights/include/weights/chunk_transfer.hpp
+++ b/libs/weights/include/weights/chunk_transfer.hpp
@@ -114,7 +114,7 @@
     base::time_point now);
 void reuse(chunk_transfer& state, chunk_transfer const& other);
 
-bool is_whole(chunk_transfer const& state);
+bool is_complete(chunk_transfer const& state);
 
 // What this agent holds and draws, in the form of `holdings`.
 std::string holdings_of(
--- a/libs/weights/src/chunk_store.cpp
+++ b/libs/weights/src/chunk_store.cpp
@@ -69,7 +69,7 @@
     return found->second.chunks[index];
 }
 
-bool is_whole(chunk_store const& store, std::string const& digest)
+bool is_complete(chunk_store const& store, std::string const& digest)
 {
     auto const found = store.versions.find(digest);
     return found != store.versions.end() &&
--- a/libs/weights/src/chunk_transfer.cpp
+++ b/libs/weights/src/chunk_transfer.cpp
@@ -466,7 +466,7 @@
     state.holdings[agent.agent] = {agent, std::move(marks), now};
 }
 
-bool is_whole(chunk_transfer const& state)
+bool is_complete(chunk_transfer const& state)
 {
     return !state.digests.empty() && state.held == state.digests.size();
 }
--- a/libs/weights/tests/burst_world.cpp
+++ b/libs/weights/tests/burst_world.cpp
@@ -456,7 +456,7 @@
 {
     for (std::size_t number = 0; number < state.agents.size(); ++number)
     {
-        if (!is_dead(state, number) && !is_whole(state.agents[number].transfer))
+        if (!is_dead(state, number) && !is_complete(state.agents[number].transfer))
         {
             return false;
         }
--- a/libs/weights/tests/chunk_store_tests.cpp
+++ b/libs/weights/tests/chunk_store_tests.cpp
@@ -20,10 +20,10 @@
     ASSERT_TRUE(put_chunk(store, digest, 2, "89").has_value());
     auto const bad = put_chunk(store, digest, 1, "4x67");
     EXPECT_EQ(bad.error().kind, base::error_kind::bad_digest);
-    EXPECT_FALSE(is_whole(store, digest));
+    EXPECT_FALSE(is_complete(store, digest));
     EXPECT_EQ(find_chunk(store, digest, 1), nullptr);
     EXPECT_TRUE(put_chunk(store, digest, 1, "4567").has_value());
-    EXPECT_TRUE(is_whole(store, digest));
+    EXPECT_TRUE(is_complete(store, digest));
 }
 
 TEST(chunk_store, is_bounded_and_frees_what_is_removed)
--- a/libs/weights/tests/chunk_transfer_tests.cpp
+++ b/libs/weights/tests/chunk_transfer_tests.cpp
@@ -94,7 +94,7 @@
             state.agents,
             [](auto const& entry)
             {
-                return !is_whole(entry.second);
+                return !is_complete(entry.second);
             });
     };
     while (unfinished() && state.rounds < 2000)
@@ -147,7 +147,7 @@
     auto const state = run({}, false);
     for (auto const& [name, transfer] : state.agents)
     {
-        EXPECT_TRUE(is_whole(transfer)) << name;
+        EXPECT_TRUE(is_complete(transfer)) << name;
     }
     EXPECT_EQ(state.drawn, chunk_count);
 }
@@ -159,7 +159,7 @@
     auto const state = run({"a0", "a3", "b1", "c0", "c4"}, false);
     for (auto const& [name, transfer] : state.agents)
     {
-        EXPECT_TRUE(is_whole(transfer)) << name;
+        EXPECT_TRUE(is_complete(transfer)) << name;
     }
     EXPECT_LE(state.drawn, 2 * chunk_count);
 }
@@ -170,7 +170,7 @@
         {"a0", "a1", "a2", "a3", "a4", "c0", "c1", "c2", "c3", "c4"}, false);
     for (auto const& [name, transfer] : state.agents)
     {
-        EXPECT_TRUE(is_whole(transfer)) << name;
+        EXPECT_TRUE(is_complete(transfer)) << name;
     }
 }
 
@@ -181,7 +181,7 @@
     auto const state = run({}, true);
     for (auto const& [name, transfer] : state.agents)
     {
-        ASSERT_TRUE(is_whole(transfer)) << name;
+        ASSERT_TRUE(is_complete(transfer)) << name;
         for (std::uint32_t index = 0; index < chunk_count; ++index)
         {
             EXPECT_EQ(*transfer.chunks[index], bytes_of(index));
@@ -199,7 +199,7 @@
     transfer_place const place{
         "a", "a4", "m@2", {{"a0", "a0:1"}, {"a1", "a1:1"}, {"a2", "a2:1"}}};
     std::map<std::string, int> asked;
-    for (auto now = start; !is_whole(state) && now < start + seconds(5);
+    for (auto now = start; !is_complete(state) && now < start + seconds(5);
          now += milliseconds(20))
     {
         for (auto const& wanted :
@@ -209,7 +209,7 @@
             deliver(state, book, wanted.index, bytes_of(wanted.index), now);
         }
     }
-    EXPECT_TRUE(is_whole(state));
+    EXPECT_TRUE(is_complete(state));
     EXPECT_EQ(asked.size(), 3U);
     EXPECT_EQ(asked[""], 0);
     EXPECT_GT(asked["a0"], 10);
@@ -225,7 +225,7 @@
     transfer_place const place{"a", "a2", "m@2", {}};
     note_holdings(state, {"c3", "c3:1"}, std::string(chunk_count, '1'), start);
     auto now = start;
-    for (; !is_whole(state) && now < start + seconds(60);
+    for (; !is_complete(state) && now < start + seconds(60);
          now += milliseconds(50))
     {
         for (auto const& wanted :
@@ -256,7 +256,7 @@
     transfer_place const alone{"z", "z0", "m@2"};
     auto const back = start + seconds(6);
     auto now = start;
-    for (; !is_whole(state) && now < start + seconds(60);
+    for (; !is_complete(state) && now < start + seconds(60);
          now += milliseconds(50))
     {
         for (auto const& wanted :
