--- a/libs/direct/tests/played_agents.cpp
+++ b/libs/direct/tests/played_agents.cpp
@@ -54,7 +54,7 @@
     }
     auto at = state.now + weights::chunk_time * static_cast<int>(missing);
     auto const named = std::ranges::find(
-        own.targets, version, &weights::named_target::version);
+        own.targets, version, &weights::announced_target::version);
     if (own.arrival)
     {
         at = std::max(at, named->named + *own.arrival);
@@ -233,7 +233,7 @@
     for (auto const& [version, time] : own.chunks)
     {
         auto const named = std::ranges::find(
-            own.targets, version, &weights::named_target::version);
+            own.targets, version, &weights::announced_target::version);
         if (state.now >= start + time.to)
         {
             own.arrival = rounded(start + time.to - named->named);
--- a/libs/direct/tests/played_fleet.hpp
+++ b/libs/direct/tests/played_fleet.hpp
@@ -103,7 +103,7 @@
 
 struct played_agent
 {
-    std::vector<weights::named_target> targets;
+    std::vector<weights::announced_target> targets;
     // When chunks of a version begin to come, and when they are all there.
     std::map<std::uint64_t, stretch> chunks;
     std::optional<std::chrono::milliseconds> arrival;
--- a/libs/gateway/src/agent_context.cpp
+++ b/libs/gateway/src/agent_context.cpp
@@ -27,7 +27,7 @@
 bool note_named(
     agent_context& state,
     std::string const& model,
-    weights::named_target const& target)
+    weights::announced_target const& target)
 {
     auto& known = state.named[model];
     if (!known.empty() && known.back().version >= target.version)
@@ -38,9 +38,9 @@
     return true;
 }
 
-std::vector<weights::named_target> const& targets_of(agent_context const& state)
+std::vector<weights::announced_target> const& targets_of(agent_context const& state)
 {
-    static std::vector<weights::named_target> const none;
+    static std::vector<weights::announced_target> const none;
     auto const found = state.named.find(state.model);
     return found == state.named.end() ? none : found->second;
 }
@@ -115,7 +115,7 @@
     // Agents learn of a version at different times; it was named at one.
     auto const& targets = targets_of(state);
     auto const named =
-        std::ranges::find(targets, version, &weights::named_target::version);
+        std::ranges::find(targets, version, &weights::announced_target::version);
     if (named != targets.end())
     {
         start = named->named;
@@ -153,7 +153,7 @@
         }
         held.whole = now;
         auto const named = std::ranges::find(
-            targets, version, &weights::named_target::version);
+            targets, version, &weights::announced_target::version);
         if (named != targets.end() && held.wanted &&
             *held.wanted - named->named < soon)
         {
@@ -185,7 +185,7 @@
     auto at = now + weights::chunk_time * static_cast<int>(missing);
     auto const& targets = targets_of(state);
     auto const named =
-        std::ranges::find(targets, version, &weights::named_target::version);
+        std::ranges::find(targets, version, &weights::announced_target::version);
     if (named != targets.end() && state.arrival)
     {
         at = std::max(at, named->named + *state.arrival);
--- a/libs/gateway/src/agent_context.hpp
+++ b/libs/gateway/src/agent_context.hpp
@@ -53,7 +53,7 @@
     // The model that the engine's service serves; empty while unknown.
     std::string model;
     // Versions that were named, oldest first, by model.
-    std::map<std::string, std::vector<weights::named_target>> named;
+    std::map<std::string, std::vector<weights::announced_target>> named;
     // "IP:PORT" of the origin, empty while unknown.
     std::string origin;
     weights::origin_limits origin_bounds;
@@ -102,10 +102,10 @@
 bool note_named(
     agent_context& state,
     std::string const& model,
-    weights::named_target const& target);
+    weights::announced_target const& target);
 
 // Named versions of the engine's model, oldest first.
-std::vector<weights::named_target> const&
+std::vector<weights::announced_target> const&
 targets_of(agent_context const& state);
 
 // The newest named version; the first when none was named.
--- a/libs/gateway/src/switch_sight.cpp
+++ b/libs/gateway/src/switch_sight.cpp
@@ -29,7 +29,7 @@
 {
     auto const first = std::ranges::find_if(
         ask.targets,
-        [&ask](weights::named_target const& named)
+        [&ask](weights::announced_target const& named)
         {
             return named.version > ask.serving;
         });
--- a/libs/gateway/tests/switch_sight_tests.cpp
+++ b/libs/gateway/tests/switch_sight_tests.cpp
@@ -18,7 +18,7 @@
 constexpr milliseconds bound{8000};
 
 weights::switch_ask
-ask_of(std::uint64_t serving, std::vector<weights::named_target> const& targets)
+ask_of(std::uint64_t serving, std::vector<weights::announced_target> const& targets)
 {
     weights::switch_ask ask;
     ask.serving = serving;
@@ -43,7 +43,7 @@
 
 TEST(plan_of, counts_from_the_version_whose_bound_ends_the_one_in_use)
 {
-    std::vector<weights::named_target> const named{
+    std::vector<weights::announced_target> const named{
         {2, start}, {3, start + seconds(1)}};
     auto const ask = ask_of(1, named);
     auto const plan = plan_of(ask, 3, 12);
@@ -64,7 +64,7 @@
 
 TEST(plan_of, is_nothing_for_an_engine_without_weights_or_on_the_newest)
 {
-    std::vector<weights::named_target> const named{{2, start}};
+    std::vector<weights::announced_target> const named{{2, start}};
     EXPECT_FALSE(plan_of(ask_of(0, named), 2, 0));
     EXPECT_FALSE(plan_of(ask_of(2, named), 2, 0));
     auto const plan = plan_of(ask_of(1, named), 2, std::nullopt);
--- a/libs/weights/include/weights/switch_time.hpp
+++ b/libs/weights/include/weights/switch_time.hpp
@@ -20,7 +20,7 @@
 {
 
 // A version that operators named, and when that became known.
-struct named_target
+struct announced_target
 {
     std::uint64_t version = 0;
     base::time_point named;
@@ -31,7 +31,7 @@
     // Version that the engine serves; zero when it serves none.
     std::uint64_t serving = 0;
     // Oldest first.
-    std::span<named_target const> targets;
+    std::span<announced_target const> targets;
     // From a version's naming until nothing may begin on an older one.
     std::chrono::milliseconds bound{0};
     // Place among the agents of the failure domain, in order of name.
--- a/libs/weights/src/switch_time.cpp
+++ b/libs/weights/src/switch_time.cpp
@@ -53,7 +53,7 @@
 }
 
 base::time_point
-expected_arrival(switch_ask const& ask, named_target const& target)
+expected_arrival(switch_ask const& ask, announced_target const& target)
 {
     auto const known = ask.whole ? ask.whole(target.version) : std::nullopt;
     return known.value_or(
@@ -62,11 +62,11 @@
             part_of(ask.bound, usual_arrival))));
 }
 
-named_target const* first_unmet(switch_ask const& ask)
+announced_target const* first_unmet(switch_ask const& ask)
 {
     auto const found = std::ranges::find_if(
         ask.targets,
-        [&ask](named_target const& target)
+        [&ask](announced_target const& target)
         {
             return target.version > ask.serving;
         });
@@ -75,7 +75,7 @@
 
 // When the newer version must be there for an engine to skip the unmet one.
 base::time_point
-skips_until(bool early, switch_ask const& ask, named_target const& unmet)
+skips_until(bool early, switch_ask const& ask, announced_target const& unmet)
 {
     return early ? unmet.named + part_of(ask.bound, early_patience)
                  : unmet.named + part_of(ask.bound, last_use) + switch_cost;
@@ -83,11 +83,11 @@
 
 // The later half skips the version that this engine serves and goes to the
 // target at once when it comes, as its own has ended.
-bool others_skip(switch_ask const& ask, named_target const& target)
+bool others_skip(switch_ask const& ask, announced_target const& target)
 {
     return is_early(ask) && std::ranges::any_of(
                                 ask.targets,
-                                [&](named_target const& other)
+                                [&](announced_target const& other)
                                 {
                                     return other.version < target.version &&
                                            other.version == ask.serving &&
@@ -153,7 +153,7 @@
 base::time_point switch_turn(switch_ask const& ask, std::uint64_t target)
 {
     auto const found =
-        std::ranges::find(ask.targets, target, &named_target::version);
+        std::ranges::find(ask.targets, target, &announced_target::version);
     auto const* unmet = first_unmet(ask);
     if (ask.serving == 0 || unmet == nullptr || found == ask.targets.end())
     {
--- a/libs/weights/tests/switch_time_tests.cpp
+++ b/libs/weights/tests/switch_time_tests.cpp
@@ -28,7 +28,7 @@
 // What an engine knows at this moment when chunks come after `arrival`.
 switch_ask ask_of(
     std::uint64_t serving,
-    std::vector<named_target> const& known,
+    std::vector<announced_target> const& known,
     std::size_t rank,
     std::size_t count,
     base::time_point now)
@@ -38,7 +38,7 @@
                  now](std::uint64_t version) -> std::optional<base::time_point>
     {
         auto const found =
-            std::ranges::find(known, version, &named_target::version);
+            std::ranges::find(known, version, &announced_target::version);
         auto const at = found->named + arrival;
         return now >= at ? std::optional(at) : std::nullopt;
     };
@@ -61,13 +61,13 @@
 };
 
 // Runs a failure domain through versions named at these moments.
-outcome run(std::size_t count, std::vector<named_target> const& named)
+outcome run(std::size_t count, std::vector<announced_target> const& named)
 {
     outcome result;
     result.engines.resize(count);
     for (auto now = start; now < start + seconds(30); now += milliseconds(10))
     {
-        std::vector<named_target> known;
+        std::vector<announced_target> known;
         for (auto const& target : named)
         {
             if (target.named <= now)
@@ -91,7 +91,7 @@
                 continue;
             }
             auto const found =
-                std::ranges::find(known, target, &named_target::version);
+                std::ranges::find(known, target, &announced_target::version);
             if (now >= switch_turn(ask, target) &&
                 now >= found->named + arrival)
             {
@@ -157,7 +157,7 @@
 TEST(switch_time, engines_take_turns_also_when_chunks_come_late)
 {
     constexpr std::size_t count = 14;
-    std::vector<named_target> const named{{2, start}};
+    std::vector<announced_target> const named{{2, start}};
     auto const late = start + milliseconds(5500);
     std::vector<base::time_point> turns;
     for (std::size_t rank = 0; rank < count; ++rank)
@@ -182,7 +182,7 @@
 // that skips the first is idle for two seconds, which costs more than a switch.
 TEST(switch_time, a_version_is_not_skipped_when_the_next_one_comes_too_late)
 {
-    std::vector<named_target> const named{{2, start}, {3, start + seconds(4)}};
+    std::vector<announced_target> const named{{2, start}, {3, start + seconds(4)}};
     auto const now = start + milliseconds(4100);
     for (std::size_t rank = 0; rank < 14; ++rank)
     {
@@ -207,7 +207,7 @@
 
 TEST(switch_time, an_engine_without_weights_waits_for_nobody)
 {
-    std::vector<named_target> const named{{2, start}};
+    std::vector<announced_target> const named{{2, start}};
     switch_ask const ask{0, named, bound, 3, 14, {}, {}};
     EXPECT_EQ(choose_target(ask), 2U);
     EXPECT_LE(switch_turn(ask, 2), start);
@@ -223,7 +223,7 @@
 // they serve, although the first version lies whole beside them.
 TEST(switch_time, a_whole_version_between_is_used_when_the_newest_does_not_come)
 {
-    std::vector<named_target> const named{{2, start}, {3, start + seconds(2)}};
+    std::vector<announced_target> const named{{2, start}, {3, start + seconds(2)}};
     switch_ask const ask{1, named, bound, 0, 14, arrival, {}};
     ASSERT_EQ(choose_target(ask), 3U);
     auto const only_second = [](std::uint64_t version) -> std::size_t
@@ -251,7 +251,7 @@
 // nobody.
 TEST(switch_time, some_engine_keeps_the_version_until_others_have_the_newer)
 {
-    std::vector<named_target> const named{{2, start}};
+    std::vector<announced_target> const named{{2, start}};
     for (std::size_t const count : {2UL, 3UL, 4UL, 14UL})
     {
         std::vector<base::time_point> turns;
