--- a/libs/direct/tests/played_agents.cpp
+++ b/libs/direct/tests/played_agents.cpp
@@ -62,10 +62,10 @@
     return at;
 }
 
-weights::switch_ask switch_ask_of(world const& state, std::size_t number)
+weights::switch_context switch_ask_of(world const& state, std::size_t number)
 {
     auto const& own = state.agents[number];
-    weights::switch_ask ask;
+    weights::switch_context ask;
     ask.serving = own.seen.weights.version;
     ask.targets = own.targets;
     ask.bound = version_bound;
--- a/libs/gateway/src/agent_context.cpp
+++ b/libs/gateway/src/agent_context.cpp
@@ -195,10 +195,10 @@
 
 } // namespace
 
-weights::switch_ask
+weights::switch_context
 switch_ask_of(agent_context const& state, base::time_point now)
 {
-    weights::switch_ask ask;
+    weights::switch_context ask;
     ask.serving = serving_version(state);
     ask.targets = targets_of(state);
     ask.bound = state.settings.promised.version;
--- a/libs/gateway/src/agent_context.hpp
+++ b/libs/gateway/src/agent_context.hpp
@@ -136,7 +136,7 @@
 void note_whole(agent_context& state, base::time_point now);
 
 // What the decisions on switching go by.
-weights::switch_ask
+weights::switch_context
 switch_ask_of(agent_context const& state, base::time_point now);
 
 } // namespace foxtailvale::gateway
--- a/libs/gateway/src/switch_sight.cpp
+++ b/libs/gateway/src/switch_sight.cpp
@@ -23,7 +23,7 @@
 } // namespace
 
 std::optional<switch_plan> plan_of(
-    weights::switch_ask const& ask,
+    weights::switch_context const& ask,
     std::uint64_t target,
     std::optional<std::size_t> missing)
 {
--- a/libs/gateway/src/switch_sight.hpp
+++ b/libs/gateway/src/switch_sight.hpp
@@ -33,7 +33,7 @@
 // The plan for this target; nothing for an engine that serves none or the
 // newest.
 std::optional<switch_plan> plan_of(
-    weights::switch_ask const& ask,
+    weights::switch_context const& ask,
     std::uint64_t target,
     std::optional<std::size_t> missing);
 
--- a/libs/weights/include/weights/switch_time.hpp
+++ b/libs/weights/include/weights/switch_time.hpp
@@ -26,7 +26,7 @@
     base::time_point named;
 };
 
-struct switch_ask
+struct switch_context
 {
     // Version that the engine serves; zero when it serves none.
     std::uint64_t serving = 0;
@@ -51,7 +51,7 @@
 // one is there before that costs more than the switch, and those of the earlier
 // half go there and carry the traffic meanwhile. If the newest comes early
 // enough, all skip.
-std::uint64_t choose_target(switch_ask const& ask);
+std::uint64_t choose_target(switch_context const& ask);
 
 // The version to go to instead of the chosen one, when its chunks will not come
 // before the version in use has ended: the newest of those between that is
@@ -59,7 +59,7 @@
 // named, and engines that skipped the first serve nobody until it is back.
 // `chunks_to_come` counts what is missing of a version here.
 std::uint64_t fall_back(
-    switch_ask const& ask,
+    switch_context const& ask,
     std::uint64_t chosen,
     std::function<std::size_t(std::uint64_t)> const& chunks_to_come,
     base::time_point now);
@@ -71,7 +71,7 @@
 // that serves nothing does so at once. What runs there ends first: whatever is
 // cut to go on elsewhere has its prompt read again, where there is no room to
 // spare.
-base::time_point switch_turn(switch_ask const& ask, std::uint64_t target);
+base::time_point switch_turn(switch_context const& ask, std::uint64_t target);
 
 } // namespace foxtailvale::weights
 
--- a/libs/weights/src/switch_time.cpp
+++ b/libs/weights/src/switch_time.cpp
@@ -40,20 +40,20 @@
 }
 
 // The engine's place among those of its failure domain, from 0 to 1.
-double place_of(switch_ask const& ask)
+double place_of(switch_context const& ask)
 {
     auto const count =
         static_cast<double>(std::max<std::size_t>(1, ask.agents));
     return std::min(1.0, (static_cast<double>(ask.rank) + 0.5) / count);
 }
 
-bool is_early(switch_ask const& ask)
+bool is_early(switch_context const& ask)
 {
     return place_of(ask) < 0.5;
 }
 
 base::time_point
-expected_arrival(switch_ask const& ask, announced_target const& target)
+expected_arrival(switch_context const& ask, announced_target const& target)
 {
     auto const known = ask.whole ? ask.whole(target.version) : std::nullopt;
     return known.value_or(
@@ -62,7 +62,7 @@
             part_of(ask.bound, usual_arrival))));
 }
 
-announced_target const* first_unmet(switch_ask const& ask)
+announced_target const* first_unmet(switch_context const& ask)
 {
     auto const found = std::ranges::find_if(
         ask.targets,
@@ -75,7 +75,7 @@
 
 // When the newer version must be there for an engine to skip the unmet one.
 base::time_point
-skips_until(bool early, switch_ask const& ask, announced_target const& unmet)
+skips_until(bool early, switch_context const& ask, announced_target const& unmet)
 {
     return early ? unmet.named + part_of(ask.bound, early_patience)
                  : unmet.named + part_of(ask.bound, last_use) + switch_cost;
@@ -83,7 +83,7 @@
 
 // The later half skips the version that this engine serves and goes to the
 // target at once when it comes, as its own has ended.
-bool others_skip(switch_ask const& ask, announced_target const& target)
+bool others_skip(switch_context const& ask, announced_target const& target)
 {
     return is_early(ask) && std::ranges::any_of(
                                 ask.targets,
@@ -98,7 +98,7 @@
 
 } // namespace
 
-std::uint64_t choose_target(switch_ask const& ask)
+std::uint64_t choose_target(switch_context const& ask)
 {
     if (ask.targets.empty())
     {
@@ -123,7 +123,7 @@
 }
 
 std::uint64_t fall_back(
-    switch_ask const& ask,
+    switch_context const& ask,
     std::uint64_t chosen,
     std::function<std::size_t(std::uint64_t)> const& chunks_to_come,
     base::time_point now)
@@ -150,7 +150,7 @@
     return best;
 }
 
-base::time_point switch_turn(switch_ask const& ask, std::uint64_t target)
+base::time_point switch_turn(switch_context const& ask, std::uint64_t target)
 {
     auto const found =
         std::ranges::find(ask.targets, target, &announced_target::version);
--- a/libs/weights/tests/switch_time_tests.cpp
+++ b/libs/weights/tests/switch_time_tests.cpp
@@ -26,14 +26,14 @@
 milliseconds const arrival{3200};
 
 // What an engine knows at this moment when chunks come after `arrival`.
-switch_ask ask_of(
+switch_context ask_of(
     std::uint64_t serving,
     std::vector<announced_target> const& known,
     std::size_t rank,
     std::size_t count,
     base::time_point now)
 {
-    switch_ask ask{serving, known, bound, rank, count, arrival, {}};
+    switch_context ask{serving, known, bound, rank, count, arrival, {}};
     ask.whole = [known,
                  now](std::uint64_t version) -> std::optional<base::time_point>
     {
@@ -208,7 +208,7 @@
 TEST(switch_time, an_engine_without_weights_waits_for_nobody)
 {
     std::vector<announced_target> const named{{2, start}};
-    switch_ask const ask{0, named, bound, 3, 14, {}, {}};
+    switch_context const ask{0, named, bound, 3, 14, {}, {}};
     EXPECT_EQ(choose_target(ask), 2U);
     EXPECT_LE(switch_turn(ask, 2), start);
 }
@@ -224,7 +224,7 @@
 TEST(switch_time, a_whole_version_between_is_used_when_the_newest_does_not_come)
 {
     std::vector<announced_target> const named{{2, start}, {3, start + seconds(2)}};
-    switch_ask const ask{1, named, bound, 0, 14, arrival, {}};
+    switch_context const ask{1, named, bound, 0, 14, arrival, {}};
     ASSERT_EQ(choose_target(ask), 3U);
     auto const only_second = [](std::uint64_t version) -> std::size_t
     {
