--- a/libs/direct/tests/played_agents.cpp
+++ b/libs/direct/tests/played_agents.cpp
@@ -105,7 +105,7 @@
     {
         return std::nullopt;
     }
-    auto const at = weights::switch_turn(ask, target);
+    auto const at = weights::planned_switch_time(ask, target);
     return at - state.now <= switch_notice ? std::optional(at) : std::nullopt;
 }
 
@@ -214,7 +214,7 @@
     if (own.switching || own.busy || own.verifying || own.ordering ||
         own.seen.weights.version >= target || state.now < own.order_again ||
         missing_chunks(state, number, target) > 0 ||
-        state.now < weights::switch_turn(switch_ask_of(state, number), target))
+        state.now < weights::planned_switch_time(switch_ask_of(state, number), target))
     {
         return;
     }
--- a/libs/gateway/src/agent_context.cpp
+++ b/libs/gateway/src/agent_context.cpp
@@ -76,7 +76,7 @@
     {
         return std::nullopt;
     }
-    auto const at = weights::switch_turn(ask, target);
+    auto const at = weights::planned_switch_time(ask, target);
     return at - now <= notice ? std::optional(at) : std::nullopt;
 }
 
--- a/libs/gateway/src/engine_switch.cpp
+++ b/libs/gateway/src/engine_switch.cpp
@@ -151,7 +151,7 @@
         this->staged_whole = clock::now();
     }
     if (clock::now() >=
-        weights::switch_turn(switch_ask_of(state, clock::now()), version))
+        weights::planned_switch_time(switch_ask_of(state, clock::now()), version))
     {
         this->verify();
     }
--- a/libs/gateway/src/switch_sight.cpp
+++ b/libs/gateway/src/switch_sight.cpp
@@ -42,7 +42,7 @@
     made.target = target;
     made.first = first->version;
     made.named = first->named;
-    made.turn = weights::switch_turn(ask, target);
+    made.turn = weights::planned_switch_time(ask, target);
     made.bound = ask.bound;
     made.missing = missing;
     return made;
--- a/libs/gateway/tests/switch_sight_tests.cpp
+++ b/libs/gateway/tests/switch_sight_tests.cpp
@@ -49,7 +49,7 @@
     auto const plan = plan_of(ask, 3, 12);
     ASSERT_TRUE(plan);
     EXPECT_EQ(plan->first, 2U);
-    EXPECT_EQ(plan->turn, weights::switch_turn(ask, 3));
+    EXPECT_EQ(plan->turn, weights::planned_switch_time(ask, 3));
     auto const fields = fields_of(*plan);
     EXPECT_EQ(fields["version"], 3);
     EXPECT_EQ(fields["from_version"], 1);
--- a/libs/weights/src/switch_time.cpp
+++ b/libs/weights/src/switch_time.cpp
@@ -150,7 +150,7 @@
     return best;
 }
 
-base::time_point switch_turn(switch_context const& ask, std::uint64_t target)
+base::time_point planned_switch_time(switch_context const& ask, std::uint64_t target)
 {
     auto const found =
         std::ranges::find(ask.targets, target, &announced_target::version);
--- a/libs/weights/tests/switch_time_tests.cpp
+++ b/libs/weights/tests/switch_time_tests.cpp
@@ -92,7 +92,7 @@
             }
             auto const found =
                 std::ranges::find(known, target, &announced_target::version);
-            if (now >= switch_turn(ask, target) &&
+            if (now >= planned_switch_time(ask, target) &&
                 now >= found->named + arrival)
             {
                 own.serving = target;
@@ -167,7 +167,7 @@
         {
             return late;
         };
-        turns.push_back(switch_turn(ask, 2));
+        turns.push_back(planned_switch_time(ask, 2));
     }
     std::ranges::sort(turns);
     EXPECT_GE(turns.front(), late);
@@ -210,7 +210,7 @@
     std::vector<announced_target> const named{{2, start}};
     switch_context const ask{0, named, bound, 3, 14, {}, {}};
     EXPECT_EQ(choose_target(ask), 2U);
-    EXPECT_LE(switch_turn(ask, 2), start);
+    EXPECT_LE(planned_switch_time(ask, 2), start);
 }
 
 TEST(switch_time, without_a_named_version_the_first_is_meant)
@@ -258,7 +258,7 @@
         for (std::size_t rank = 0; rank < count; ++rank)
         {
             turns.push_back(
-                switch_turn({1, named, bound, rank, count, arrival, {}}, 2));
+                planned_switch_time({1, named, bound, rank, count, arrival, {}}, 2));
         }
         auto const [first, last] = std::ranges::minmax(turns);
         EXPECT_GE(last - first, lost) << count;
