--- a/libs/direct/tests/played_agents.cpp
+++ b/libs/direct/tests/played_agents.cpp
@@ -87,7 +87,7 @@
 std::uint64_t next_version(world const& state, std::size_t number)
 {
     auto const ask = switch_ask_of(state, number);
-    return weights::fall_back(
+    return weights::choose_fallback_target(
         ask, weights::choose_target(ask),
         [&](std::uint64_t version)
         {
--- a/libs/gateway/src/agent_context.cpp
+++ b/libs/gateway/src/agent_context.cpp
@@ -137,7 +137,7 @@
         auto const& transfer = found->second.transfer;
         return transfer.digests.size() - transfer.held;
     };
-    return weights::fall_back(ask, weights::choose_target(ask), to_come, now);
+    return weights::choose_fallback_target(ask, weights::choose_target(ask), to_come, now);
 }
 
 void note_whole(agent_context& state, base::time_point now)
--- a/libs/weights/include/weights/switch_time.hpp
+++ b/libs/weights/include/weights/switch_time.hpp
@@ -58,7 +58,7 @@
 // whole at this agent. Failure: the origin dies just after a second version was
 // named, and engines that skipped the first serve nobody until it is back.
 // `chunks_to_come` counts what is missing of a version here.
-std::uint64_t fall_back(
+std::uint64_t choose_fallback_target(
     switch_context const& ask,
     std::uint64_t chosen,
     std::function<std::size_t(std::uint64_t)> const& chunks_to_come,
--- a/libs/weights/src/switch_time.cpp
+++ b/libs/weights/src/switch_time.cpp
@@ -122,7 +122,7 @@
     return chosen;
 }
 
-std::uint64_t fall_back(
+std::uint64_t choose_fallback_target(
     switch_context const& ask,
     std::uint64_t chosen,
     std::function<std::size_t(std::uint64_t)> const& chunks_to_come,
--- a/libs/weights/tests/switch_time_tests.cpp
+++ b/libs/weights/tests/switch_time_tests.cpp
@@ -230,20 +230,20 @@
     {
         return version == 2 ? 0 : 64;
     };
-    EXPECT_EQ(fall_back(ask, 3, only_second, start + seconds(4)), 3U);
-    EXPECT_EQ(fall_back(ask, 3, only_second, start + seconds(6)), 2U);
+    EXPECT_EQ(choose_fallback_target(ask, 3, only_second, start + seconds(4)), 3U);
+    EXPECT_EQ(choose_fallback_target(ask, 3, only_second, start + seconds(6)), 2U);
     auto const nearly = [](std::uint64_t version) -> std::size_t
     {
         return version == 2 ? 0 : 5;
     };
-    EXPECT_EQ(fall_back(ask, 3, nearly, start + seconds(7)), 3U);
+    EXPECT_EQ(choose_fallback_target(ask, 3, nearly, start + seconds(7)), 3U);
     // A switch that comes a moment too late is better than two.
-    EXPECT_EQ(fall_back(ask, 3, nearly, start + milliseconds(7900)), 3U);
+    EXPECT_EQ(choose_fallback_target(ask, 3, nearly, start + milliseconds(7900)), 3U);
     auto const none = [](std::uint64_t) -> std::size_t
     {
         return 64;
     };
-    EXPECT_EQ(fall_back(ask, 3, none, start + seconds(6)), 3U);
+    EXPECT_EQ(choose_fallback_target(ask, 3, none, start + seconds(6)), 3U);
 }
 
 // All engines of a failure domain give up a version before the last of them has
