--- a/libs/gateway/src/version_fetch.cpp
+++ b/libs/gateway/src/version_fetch.cpp
@@ -287,7 +287,7 @@
         });
 }
 
-void version_fetch::ask(std::uint64_t version, weights::chunk_ask const& wanted)
+void version_fetch::ask(std::uint64_t version, weights::wanted_chunk const& wanted)
 {
     auto& state = *this->context;
     ready_chunk const asked{version, wanted};
--- a/libs/gateway/src/version_fetch.hpp
+++ b/libs/gateway/src/version_fetch.hpp
@@ -42,10 +42,10 @@
     struct ready_chunk
     {
         std::uint64_t version = 0;
-        weights::chunk_ask wanted;
+        weights::wanted_chunk wanted;
     };
 
-    void ask(std::uint64_t version, weights::chunk_ask const& wanted);
+    void ask(std::uint64_t version, weights::wanted_chunk const& wanted);
     // Asks an agent that draws from the origin whether it lives.
     void check(std::uint64_t version, weights::chunk_source const& drawer);
     void fetch_ready();
--- a/libs/weights/include/weights/chunk_transfer.hpp
+++ b/libs/weights/include/weights/chunk_transfer.hpp
@@ -96,7 +96,7 @@
     std::size_t origin = 1;
 };
 
-struct chunk_ask
+struct wanted_chunk
 {
     std::uint32_t index = 0;
     // The origin when its agent is empty.
@@ -151,7 +151,7 @@
 void note_check(chunk_transfer& state, std::string const& drawer, bool lives);
 
 // Chunks to ask for now, each noted as pending.
-std::vector<chunk_ask> next_asks(
+std::vector<wanted_chunk> next_asks(
     chunk_transfer& state,
     source_book& book,
     plan_set const& plans,
--- a/libs/weights/src/chunk_transfer.cpp
+++ b/libs/weights/src/chunk_transfer.cpp
@@ -370,7 +370,7 @@
     return {};
 }
 
-chunk_ask
+wanted_chunk
 ask_of(asking const& look, std::uint32_t index, found_source const& found)
 {
     auto const source = found.source.value_or(chunk_source{});
@@ -513,7 +513,7 @@
     }
 }
 
-std::vector<chunk_ask> next_asks(
+std::vector<wanted_chunk> next_asks(
     chunk_transfer& state,
     source_book& book,
     plan_set const& plans,
@@ -523,7 +523,7 @@
     base::time_point now)
 {
     asking const look{state, book, plans, place, schedule, limits, now};
-    std::vector<chunk_ask> asks;
+    std::vector<wanted_chunk> asks;
     std::vector<std::pair<std::size_t, std::uint32_t>> draws;
     for (auto const index : missing_in_order(look))
     {
--- a/libs/weights/tests/chunk_transfer_tests.cpp
+++ b/libs/weights/tests/chunk_transfer_tests.cpp
@@ -371,7 +371,7 @@
             limits, now);
         return std::ranges::any_of(
             asks,
-            [](chunk_ask const& wanted)
+            [](wanted_chunk const& wanted)
             {
                 return wanted.index == 0 && wanted.source.agent.empty();
             });
