--- a/libs/gateway/src/version_fetch.cpp
+++ b/libs/gateway/src/version_fetch.cpp
@@ -247,7 +247,7 @@
     weights::transfer_place const place{
         state.settings.failure_domain, state.settings.ip, label,
         holders_of(state, version)};
-    auto const asks = weights::next_asks(
+    auto const asks = weights::next_chunk_requests(
         held.transfer, state.sources, labelled(state, label), place,
         draws_of(state, version), weights::transfer_limits{}, clock::now());
     for (auto const& wanted : asks)
--- a/libs/weights/include/weights/chunk_transfer.hpp
+++ b/libs/weights/include/weights/chunk_transfer.hpp
@@ -151,7 +151,7 @@
 void note_check(chunk_transfer& state, std::string const& drawer, bool lives);
 
 // Chunks to ask for now, each noted as pending.
-std::vector<wanted_chunk> next_asks(
+std::vector<wanted_chunk> next_chunk_requests(
     chunk_transfer& state,
     source_book& book,
     plan_set const& plans,
--- a/libs/weights/src/chunk_transfer.cpp
+++ b/libs/weights/src/chunk_transfer.cpp
@@ -513,7 +513,7 @@
     }
 }
 
-std::vector<wanted_chunk> next_asks(
+std::vector<wanted_chunk> next_chunk_requests(
     chunk_transfer& state,
     source_book& book,
     plan_set const& plans,
--- a/libs/weights/tests/burst_world.cpp
+++ b/libs/weights/tests/burst_world.cpp
@@ -208,7 +208,7 @@
             begin(own.transfer, state.digests, state.now);
         }
         transfer_place const place{own.domain, own.name, "m@2", state.holders};
-        auto const asks = next_asks(
+        auto const asks = next_chunk_requests(
             own.transfer, own.book, state.fleet, place, state.schedule, {},
             state.now);
         for (auto const& wanted : asks)
--- a/libs/weights/tests/chunk_transfer_tests.cpp
+++ b/libs/weights/tests/chunk_transfer_tests.cpp
@@ -104,7 +104,7 @@
         for (auto& [name, transfer] : state.agents)
         {
             auto& book = state.books[name];
-            auto const asks = next_asks(
+            auto const asks = next_chunk_requests(
                 transfer, book, plans, {name.substr(0, 1), name, "m@2"},
                 schedule(), {}, now);
             for (auto const& wanted : asks)
@@ -203,7 +203,7 @@
          now += milliseconds(20))
     {
         for (auto const& wanted :
-             next_asks(state, book, fleet(), place, schedule(), {}, now))
+             next_chunk_requests(state, book, fleet(), place, schedule(), {}, now))
         {
             ++asked[wanted.source.agent];
             deliver(state, book, wanted.index, bytes_of(wanted.index), now);
@@ -229,7 +229,7 @@
          now += milliseconds(50))
     {
         for (auto const& wanted :
-             next_asks(state, book, fleet(), place, schedule(), {}, now))
+             next_chunk_requests(state, book, fleet(), place, schedule(), {}, now))
         {
             auto const& source = wanted.source.agent;
             if (source == "c3")
@@ -260,7 +260,7 @@
          now += milliseconds(50))
     {
         for (auto const& wanted :
-             next_asks(state, book, {}, alone, schedule_alone({}), {}, now))
+             next_chunk_requests(state, book, {}, alone, schedule_alone({}), {}, now))
         {
             if (now < back)
             {
@@ -309,7 +309,7 @@
     for (auto now = start; now < start + milliseconds(1000);
          now += milliseconds(20))
     {
-        for (auto const& wanted : next_asks(
+        for (auto const& wanted : next_chunk_requests(
                  state, book, fleet(), {"a", "a1", "m@2", {}}, schedule(), {},
                  now))
         {
@@ -338,10 +338,10 @@
     auto const paced = schedule_alone(std::chrono::microseconds(25000));
     transfer_place const alone{"z", "z0", "m@2"};
     EXPECT_EQ(
-        next_asks(state, book, {}, alone, paced, limits, start).size(), 1U);
+        next_chunk_requests(state, book, {}, alone, paced, limits, start).size(), 1U);
     auto const later = start + milliseconds(250);
     EXPECT_EQ(
-        next_asks(state, book, {}, alone, paced, limits, later).size(), 10U);
+        next_chunk_requests(state, book, {}, alone, paced, limits, later).size(), 10U);
 }
 
 namespace
@@ -366,7 +366,7 @@
     {
         transfer_limits limits;
         limits.origin = chunk_count;
-        auto const asks = next_asks(
+        auto const asks = next_chunk_requests(
             this->transfer, this->book, fleet(), this->place, this->draws,
             limits, now);
         return std::ranges::any_of(
@@ -430,7 +430,7 @@
     auto const& agent = draws.order.front();
     auto const now = start + seconds(3);
     hold_off(book, {}, now);
-    auto const asks = next_asks(
+    auto const asks = next_chunk_requests(
         transfer, book, fleet(), {agent.substr(0, 1), agent, "m@2", {}}, draws,
         {}, now);
     EXPECT_EQ(asks.size(), transfer_limits{}.total);
