--- a/libs/gateway/src/version_fetch.cpp
+++ b/libs/gateway/src/version_fetch.cpp
@@ -254,7 +254,7 @@
     {
         this->ask(version, wanted);
     }
-    auto const checks = weights::next_checks(
+    auto const checks = weights::next_liveness_checks(
         held.transfer, labelled(state, label), place, draws_of(state, version),
         clock::now());
     for (auto const& drawer : checks)
--- a/libs/weights/include/weights/chunk_transfer.hpp
+++ b/libs/weights/include/weights/chunk_transfer.hpp
@@ -137,7 +137,7 @@
 // stand in ask a moment after a chunk's slot when it has not come. Failure: two
 // drawers ended within a second of a naming, who stood in found out after a
 // second and more for each chunk, and the origin died before.
-std::vector<chunk_source> next_checks(
+std::vector<chunk_source> next_liveness_checks(
     chunk_transfer& state,
     plan_set const& plans,
     transfer_place const& place,
--- a/libs/weights/src/chunk_transfer.cpp
+++ b/libs/weights/src/chunk_transfer.cpp
@@ -471,7 +471,7 @@
     return !state.digests.empty() && state.held == state.digests.size();
 }
 
-std::vector<chunk_source> next_checks(
+std::vector<chunk_source> next_liveness_checks(
     chunk_transfer& state,
     plan_set const& plans,
     transfer_place const& place,
--- a/libs/weights/tests/burst_world.cpp
+++ b/libs/weights/tests/burst_world.cpp
@@ -238,7 +238,7 @@
         return;
     }
     transfer_place const place{own.domain, own.name, "m@2", state.holders};
-    for (auto const& drawer : next_checks(
+    for (auto const& drawer : next_liveness_checks(
              own.transfer, state.fleet, place, state.schedule, state.now))
     {
         auto const asked = state.by_name.at(drawer.agent);
--- a/libs/weights/tests/chunk_transfer_tests.cpp
+++ b/libs/weights/tests/chunk_transfer_tests.cpp
@@ -358,7 +358,7 @@
 
     std::vector<chunk_source> checks(base::time_point now)
     {
-        return next_checks(
+        return next_liveness_checks(
             this->transfer, fleet(), this->place, this->draws, now);
     }
 
