--- a/libs/gateway/src/version_fetch.cpp
+++ b/libs/gateway/src/version_fetch.cpp
@@ -282,7 +282,7 @@
                      {"drawer", drawer.agent},
                      {"status", response ? response->status : 0}});
             }
-            weights::note_check(
+            weights::note_liveness_check(
                 self->context->versions[version].transfer, drawer.agent, lives);
         });
 }
--- a/libs/weights/src/chunk_transfer.cpp
+++ b/libs/weights/src/chunk_transfer.cpp
@@ -501,7 +501,7 @@
     return checks;
 }
 
-void note_check(chunk_transfer& state, std::string const& drawer, bool lives)
+void note_liveness_check(chunk_transfer& state, std::string const& drawer, bool lives)
 {
     auto& check = state.checks[drawer];
     check.is_pending = false;
--- a/libs/weights/tests/burst_world.cpp
+++ b/libs/weights/tests/burst_world.cpp
@@ -253,7 +253,7 @@
         {
             continue;
         }
-        note_check(
+        note_liveness_check(
             own.transfer, other.name,
             !is_dead(state, check.asked) && other.begun);
     }
--- a/libs/weights/tests/chunk_transfer_tests.cpp
+++ b/libs/weights/tests/chunk_transfer_tests.cpp
@@ -406,7 +406,7 @@
     standing_in agent;
     agent.checks(start + may_check);
     auto const answered = start + may_check + check_limit;
-    note_check(agent.transfer, agent.drawer, false);
+    note_liveness_check(agent.transfer, agent.drawer, false);
     EXPECT_TRUE(agent.draws_first_chunk(answered));
 }
 
@@ -415,7 +415,7 @@
 {
     standing_in agent;
     agent.checks(start + may_check);
-    note_check(agent.transfer, agent.drawer, true);
+    note_liveness_check(agent.transfer, agent.drawer, true);
     EXPECT_FALSE(agent.draws_first_chunk(start + may_check + check_limit));
 }
 
