--- a/libs/gateway/src/version_fetch.cpp
+++ b/libs/gateway/src/version_fetch.cpp
@@ -269,7 +269,7 @@
     auto& state = *this->context;
     fetch(
         state.loop, state.pool, drawer.address,
-        peer_check_request(state.model, version), weights::check_limit,
+        peer_check_request(state.model, version), weights::liveness_check_timeout,
         [self = this->shared_from_this(), version,
          drawer](std::optional<fetched> response)
         {
--- a/libs/weights/include/weights/chunk_transfer.hpp
+++ b/libs/weights/include/weights/chunk_transfer.hpp
@@ -145,7 +145,7 @@
     base::time_point now);
 
 // How long a drawer that lives may take for its answer.
-inline constexpr std::chrono::milliseconds check_limit{250};
+inline constexpr std::chrono::milliseconds liveness_check_timeout{250};
 
 // The drawer answered or did not. If not, the next in turn draws its chunks.
 void note_liveness_check(chunk_transfer& state, std::string const& drawer, bool lives);
--- a/libs/weights/tests/burst_world.cpp
+++ b/libs/weights/tests/burst_world.cpp
@@ -244,7 +244,7 @@
         auto const asked = state.by_name.at(drawer.agent);
         auto const lives = !is_dead(state, asked) && state.agents[asked].begun;
         own.checks.push_back(
-            {asked, state.now + (lives ? answer_at_once : check_limit)});
+            {asked, state.now + (lives ? answer_at_once : liveness_check_timeout)});
     }
     for (auto const& check : own.checks)
     {
--- a/libs/weights/tests/chunk_transfer_tests.cpp
+++ b/libs/weights/tests/chunk_transfer_tests.cpp
@@ -405,7 +405,7 @@
 {
     standing_in agent;
     agent.checks(start + may_check);
-    auto const answered = start + may_check + check_limit;
+    auto const answered = start + may_check + liveness_check_timeout;
     note_liveness_check(agent.transfer, agent.drawer, false);
     EXPECT_TRUE(agent.draws_first_chunk(answered));
 }
@@ -416,7 +416,7 @@
     standing_in agent;
     agent.checks(start + may_check);
     note_liveness_check(agent.transfer, agent.drawer, true);
-    EXPECT_FALSE(agent.draws_first_chunk(start + may_check + check_limit));
+    EXPECT_FALSE(agent.draws_first_chunk(start + may_check + liveness_check_timeout));
 }
 
 // Guards against drawers that ask each other for their own chunks while the
