--- a/libs/gateway/src/version_fetch.cpp
+++ b/libs/gateway/src/version_fetch.cpp
@@ -244,7 +244,7 @@
     this->fetch_ready();
     this->tell_waiting(version);
     auto const label = state.model + "@" + std::to_string(version);
-    weights::transfer_place const place{
+    weights::transfer_requester const place{
         state.settings.failure_domain, state.settings.ip, label,
         holders_of(state, version)};
     auto const asks = weights::next_chunk_requests(
--- a/libs/weights/include/weights/chunk_transfer.hpp
+++ b/libs/weights/include/weights/chunk_transfer.hpp
@@ -68,7 +68,7 @@
 };
 
 // Who asks.
-struct transfer_place
+struct transfer_requester
 {
     std::string failure_domain;
     std::string agent;
@@ -140,7 +140,7 @@
 std::vector<chunk_source> next_liveness_checks(
     chunk_transfer& state,
     plan_set const& plans,
-    transfer_place const& place,
+    transfer_requester const& place,
     draw_schedule const& schedule,
     base::time_point now);
 
@@ -155,7 +155,7 @@
     chunk_transfer& state,
     source_book& book,
     plan_set const& plans,
-    transfer_place const& place,
+    transfer_requester const& place,
     draw_schedule const& schedule,
     transfer_limits const& limits,
     base::time_point now);
--- a/libs/weights/src/chunk_transfer.cpp
+++ b/libs/weights/src/chunk_transfer.cpp
@@ -75,7 +75,7 @@
 // any of them may hold the chunk. The order differs by agent and chunk, so that
 // not all ask the same one.
 std::vector<chunk_source>
-others(plan_set const& plans, transfer_place const& place, std::uint32_t index)
+others(plan_set const& plans, transfer_requester const& place, std::uint32_t index)
 {
     std::vector<chunk_source> found;
     for (auto const& [domain, plan] : plans)
@@ -142,7 +142,7 @@
 // for each chunk and agent.
 std::optional<chunk_source> free_holder(
     chunk_transfer const& state,
-    transfer_place const& place,
+    transfer_requester const& place,
     std::uint32_t index,
     source_view const& view)
 {
@@ -178,7 +178,7 @@
     chunk_transfer& state;
     source_book& book;
     plan_set const& plans;
-    transfer_place const& place;
+    transfer_requester const& place;
     draw_schedule const& schedule;
     transfer_limits const& limits;
     base::time_point now;
@@ -474,7 +474,7 @@
 std::vector<chunk_source> next_liveness_checks(
     chunk_transfer& state,
     plan_set const& plans,
-    transfer_place const& place,
+    transfer_requester const& place,
     draw_schedule const& schedule,
     base::time_point now)
 {
@@ -517,7 +517,7 @@
     chunk_transfer& state,
     source_book& book,
     plan_set const& plans,
-    transfer_place const& place,
+    transfer_requester const& place,
     draw_schedule const& schedule,
     transfer_limits const& limits,
     base::time_point now)
--- a/libs/weights/tests/burst_world.cpp
+++ b/libs/weights/tests/burst_world.cpp
@@ -207,7 +207,7 @@
             own.begun = true;
             begin(own.transfer, state.digests, state.now);
         }
-        transfer_place const place{own.domain, own.name, "m@2", state.holders};
+        transfer_requester const place{own.domain, own.name, "m@2", state.holders};
         auto const asks = next_chunk_requests(
             own.transfer, own.book, state.fleet, place, state.schedule, {},
             state.now);
@@ -237,7 +237,7 @@
     {
         return;
     }
-    transfer_place const place{own.domain, own.name, "m@2", state.holders};
+    transfer_requester const place{own.domain, own.name, "m@2", state.holders};
     for (auto const& drawer : next_liveness_checks(
              own.transfer, state.fleet, place, state.schedule, state.now))
     {
--- a/libs/weights/tests/chunk_transfer_tests.cpp
+++ b/libs/weights/tests/chunk_transfer_tests.cpp
@@ -196,7 +196,7 @@
     chunk_transfer state;
     begin(state, digests(), start);
     source_book book;
-    transfer_place const place{
+    transfer_requester const place{
         "a", "a4", "m@2", {{"a0", "a0:1"}, {"a1", "a1:1"}, {"a2", "a2:1"}}};
     std::map<std::string, int> asked;
     for (auto now = start; !is_complete(state) && now < start + seconds(5);
@@ -222,7 +222,7 @@
     chunk_transfer state;
     begin(state, digests(), start);
     source_book book;
-    transfer_place const place{"a", "a2", "m@2", {}};
+    transfer_requester const place{"a", "a2", "m@2", {}};
     note_holdings(state, {"c3", "c3:1"}, std::string(chunk_count, '1'), start);
     auto now = start;
     for (; !is_complete(state) && now < start + seconds(60);
@@ -253,7 +253,7 @@
     chunk_transfer state;
     begin(state, digests(), start);
     source_book book;
-    transfer_place const alone{"z", "z0", "m@2"};
+    transfer_requester const alone{"z", "z0", "m@2"};
     auto const back = start + seconds(6);
     auto now = start;
     for (; !is_complete(state) && now < start + seconds(60);
@@ -336,7 +336,7 @@
     limits.origin = chunk_count;
     limits.total = chunk_count;
     auto const paced = schedule_alone(std::chrono::microseconds(25000));
-    transfer_place const alone{"z", "z0", "m@2"};
+    transfer_requester const alone{"z", "z0", "m@2"};
     EXPECT_EQ(
         next_chunk_requests(state, book, {}, alone, paced, limits, start).size(), 1U);
     auto const later = start + milliseconds(250);
@@ -379,7 +379,7 @@
 
     draw_schedule draws = schedule();
     std::string drawer = drawer_of(this->draws, 0);
-    transfer_place place{
+    transfer_requester place{
         this->draws.order[1].substr(0, 1), this->draws.order[1], "m@2", {}};
     chunk_transfer transfer;
     source_book book;
