--- a/libs/gateway/src/agent_context.cpp
+++ b/libs/gateway/src/agent_context.cpp
@@ -100,7 +100,7 @@
     return {};
 }
 
-weights::draw_schedule
+weights::origin_fetch_schedule
 draws_of(agent_context const& state, std::uint64_t version)
 {
     // Until a manifest says otherwise.
--- a/libs/gateway/src/agent_context.hpp
+++ b/libs/gateway/src/agent_context.hpp
@@ -126,7 +126,7 @@
 holders_of(agent_context const& state, std::uint64_t version);
 
 // Who draws the version's chunks from the origin, and when.
-weights::draw_schedule
+weights::origin_fetch_schedule
 draws_of(agent_context const& state, std::uint64_t version);
 
 // The version that the engine goes to next, as things stand here.
--- a/libs/weights/include/weights/chunk_transfer.hpp
+++ b/libs/weights/include/weights/chunk_transfer.hpp
@@ -119,7 +119,7 @@
 // What this agent holds and draws, in the form of `holdings`.
 std::string holdings_of(
     chunk_transfer const& state,
-    draw_schedule const& schedule,
+    origin_fetch_schedule const& schedule,
     std::string const& agent,
     bool origin_fails);
 
@@ -141,7 +141,7 @@
     chunk_transfer& state,
     plan_set const& plans,
     transfer_requester const& place,
-    draw_schedule const& schedule,
+    origin_fetch_schedule const& schedule,
     base::time_point now);
 
 // How long a drawer that lives may take for its answer.
@@ -156,7 +156,7 @@
     source_book& book,
     plan_set const& plans,
     transfer_requester const& place,
-    draw_schedule const& schedule,
+    origin_fetch_schedule const& schedule,
     transfer_limits const& limits,
     base::time_point now);
 
--- a/libs/weights/include/weights/origin_schedule.hpp
+++ b/libs/weights/include/weights/origin_schedule.hpp
@@ -35,7 +35,7 @@
 };
 
 // One version's draws.
-struct draw_schedule
+struct origin_fetch_schedule
 {
     // All agents that want the version, the failure domains by turns, so that
     // the first few stand in all of them.
@@ -56,19 +56,19 @@
 std::size_t count_drawers(origin_limits const& origin, std::size_t agents);
 
 // The schedule of a version that was named at `start`.
-draw_schedule plan_draws(
+origin_fetch_schedule plan_draws(
     plan_set const& fleet,
     origin_limits const& origin,
     std::uint32_t chunk_bytes,
     base::time_point start);
 
 // The agent that draws the chunk first; empty in an empty fleet.
-std::string drawer_of(draw_schedule const& schedule, std::uint32_t chunk);
+std::string drawer_of(origin_fetch_schedule const& schedule, std::uint32_t chunk);
 
 // How many others draw the chunk before this agent does; zero for its drawer.
 // Nothing for an agent that the schedule does not know.
 std::optional<std::size_t> turn_of(
-    draw_schedule const& schedule,
+    origin_fetch_schedule const& schedule,
     std::string const& agent,
     std::uint32_t chunk);
 
@@ -78,21 +78,21 @@
 // waits for the others as long. Failure: the drawer is cut off from the origin,
 // dead or slow to start.
 base::time_point draws_at(
-    draw_schedule const& schedule,
+    origin_fetch_schedule const& schedule,
     std::size_t turn,
     std::uint32_t chunk,
     base::time_point begun);
 
 // Agents whose turn comes before this one's, the drawer first.
 std::vector<std::string> earlier_drawers(
-    draw_schedule const& schedule, std::size_t turn, std::uint32_t chunk);
+    origin_fetch_schedule const& schedule, std::size_t turn, std::uint32_t chunk);
 
 // Whether the agent may ask the origin for the version's manifest by now: the
 // first of each failure domain at once, the other drawers half a second later,
 // of the others as many more every other second. Failure: with all drawers at
 // once, the last of their manifests stood behind the first ones' chunks.
 bool may_ask_for_manifest(
-    draw_schedule const& schedule,
+    origin_fetch_schedule const& schedule,
     std::string const& agent,
     base::time_point begun,
     base::time_point now);
@@ -102,7 +102,7 @@
 // much after each failure. Failure: the origin loses power and answers nothing;
 // a draw that waits for it goes on waiting after it is back.
 std::chrono::milliseconds
-draw_limit(draw_schedule const& schedule, std::uint32_t failures);
+draw_limit(origin_fetch_schedule const& schedule, std::uint32_t failures);
 
 } // namespace foxtailvale::weights
 
--- a/libs/weights/src/chunk_transfer.cpp
+++ b/libs/weights/src/chunk_transfer.cpp
@@ -179,7 +179,7 @@
     source_book& book;
     plan_set const& plans;
     transfer_requester const& place;
-    draw_schedule const& schedule;
+    origin_fetch_schedule const& schedule;
     transfer_limits const& limits;
     base::time_point now;
 };
@@ -306,7 +306,7 @@
 // to be asked now.
 std::optional<std::string> drawer_to_check(
     chunk_transfer const& state,
-    draw_schedule const& schedule,
+    origin_fetch_schedule const& schedule,
     std::uint32_t index,
     std::size_t turn,
     base::time_point now)
@@ -437,7 +437,7 @@
 
 std::string holdings_of(
     chunk_transfer const& state,
-    draw_schedule const& schedule,
+    origin_fetch_schedule const& schedule,
     std::string const& agent,
     bool origin_fails)
 {
@@ -475,7 +475,7 @@
     chunk_transfer& state,
     plan_set const& plans,
     transfer_requester const& place,
-    draw_schedule const& schedule,
+    origin_fetch_schedule const& schedule,
     base::time_point now)
 {
     std::vector<chunk_source> checks;
@@ -518,7 +518,7 @@
     source_book& book,
     plan_set const& plans,
     transfer_requester const& place,
-    draw_schedule const& schedule,
+    origin_fetch_schedule const& schedule,
     transfer_limits const& limits,
     base::time_point now)
 {
--- a/libs/weights/src/origin_schedule.cpp
+++ b/libs/weights/src/origin_schedule.cpp
@@ -33,7 +33,7 @@
 constexpr milliseconds longest_limit{4000};
 constexpr std::uint32_t most_doublings = 3;
 
-std::size_t place_of(draw_schedule const& schedule, std::string const& agent)
+std::size_t place_of(origin_fetch_schedule const& schedule, std::string const& agent)
 {
     auto const found = std::ranges::find(schedule.order, agent);
     return static_cast<std::size_t>(found - schedule.order.begin());
@@ -50,13 +50,13 @@
     return std::min(wanted, std::max<std::size_t>(agents, 1));
 }
 
-draw_schedule plan_draws(
+origin_fetch_schedule plan_draws(
     plan_set const& fleet,
     origin_limits const& origin,
     std::uint32_t chunk_bytes,
     base::time_point start)
 {
-    draw_schedule schedule;
+    origin_fetch_schedule schedule;
     std::size_t longest = 0;
     for (auto const& [domain, plan] : fleet)
     {
@@ -83,14 +83,14 @@
     return schedule;
 }
 
-std::string drawer_of(draw_schedule const& schedule, std::uint32_t chunk)
+std::string drawer_of(origin_fetch_schedule const& schedule, std::uint32_t chunk)
 {
     return schedule.order.empty() ? std::string()
                                   : schedule.order[chunk % schedule.drawers];
 }
 
 std::optional<std::size_t> turn_of(
-    draw_schedule const& schedule,
+    origin_fetch_schedule const& schedule,
     std::string const& agent,
     std::uint32_t chunk)
 {
@@ -108,7 +108,7 @@
 }
 
 base::time_point draws_at(
-    draw_schedule const& schedule,
+    origin_fetch_schedule const& schedule,
     std::size_t turn,
     std::uint32_t chunk,
     base::time_point begun)
@@ -120,7 +120,7 @@
 }
 
 std::vector<std::string> earlier_drawers(
-    draw_schedule const& schedule, std::size_t turn, std::uint32_t chunk)
+    origin_fetch_schedule const& schedule, std::size_t turn, std::uint32_t chunk)
 {
     std::vector<std::string> found;
     auto const count = std::min(turn, schedule.drawers);
@@ -132,7 +132,7 @@
 }
 
 bool may_ask_for_manifest(
-    draw_schedule const& schedule,
+    origin_fetch_schedule const& schedule,
     std::string const& agent,
     base::time_point begun,
     base::time_point now)
@@ -147,7 +147,7 @@
 }
 
 std::chrono::milliseconds
-draw_limit(draw_schedule const& schedule, std::uint32_t failures)
+draw_limit(origin_fetch_schedule const& schedule, std::uint32_t failures)
 {
     auto const all_at_once = std::chrono::duration_cast<milliseconds>(
         schedule.interval * static_cast<int>(schedule.drawers));
--- a/libs/weights/tests/burst_world.cpp
+++ b/libs/weights/tests/burst_world.cpp
@@ -95,7 +95,7 @@
     std::vector<agent> agents;
     std::map<std::string, std::size_t> by_name;
     plan_set fleet;
-    draw_schedule schedule;
+    origin_fetch_schedule schedule;
     std::vector<chunk_source> holders;
     std::vector<std::string> bytes;
     std::vector<std::string> digests;
--- a/libs/weights/tests/chunk_transfer_tests.cpp
+++ b/libs/weights/tests/chunk_transfer_tests.cpp
@@ -51,13 +51,13 @@
     return plans;
 }
 
-draw_schedule schedule()
+origin_fetch_schedule schedule()
 {
     return plan_draws(fleet(), {}, 32768, start);
 }
 
 // The schedule of an agent that stands in no fleet.
-draw_schedule schedule_alone(std::chrono::microseconds interval)
+origin_fetch_schedule schedule_alone(std::chrono::microseconds interval)
 {
     return {{"z0"}, 1, 1, start, interval};
 }
@@ -377,7 +377,7 @@
             });
     }
 
-    draw_schedule draws = schedule();
+    origin_fetch_schedule draws = schedule();
     std::string drawer = drawer_of(this->draws, 0);
     transfer_requester place{
         this->draws.order[1].substr(0, 1), this->draws.order[1], "m@2", {}};
