--- a/libs/gateway/src/agent_context.cpp
+++ b/libs/gateway/src/agent_context.cpp
@@ -120,7 +120,7 @@
     {
         start = named->named;
     }
-    return weights::plan_draws(state.fleet, state.origin_bounds, bytes, start);
+    return weights::plan_origin_fetches(state.fleet, state.origin_bounds, bytes, start);
 }
 
 std::uint64_t next_version(agent_context const& state, base::time_point now)
--- a/libs/weights/include/weights/origin_schedule.hpp
+++ b/libs/weights/include/weights/origin_schedule.hpp
@@ -56,7 +56,7 @@
 std::size_t count_drawers(origin_limits const& origin, std::size_t agents);
 
 // The schedule of a version that was named at `start`.
-origin_fetch_schedule plan_draws(
+origin_fetch_schedule plan_origin_fetches(
     plan_set const& fleet,
     origin_limits const& origin,
     std::uint32_t chunk_bytes,
--- a/libs/weights/src/origin_schedule.cpp
+++ b/libs/weights/src/origin_schedule.cpp
@@ -50,7 +50,7 @@
     return std::min(wanted, std::max<std::size_t>(agents, 1));
 }
 
-origin_fetch_schedule plan_draws(
+origin_fetch_schedule plan_origin_fetches(
     plan_set const& fleet,
     origin_limits const& origin,
     std::uint32_t chunk_bytes,
--- a/libs/weights/tests/burst_world.cpp
+++ b/libs/weights/tests/burst_world.cpp
@@ -157,7 +157,7 @@
         state.agents.push_back(std::move(made));
     }
     state.schedule =
-        plan_draws(state.fleet, {origin_rate, accepted}, chunk_bytes, named);
+        plan_origin_fetches(state.fleet, {origin_rate, accepted}, chunk_bytes, named);
     if (course.all_draw)
     {
         state.schedule.drawers = state.schedule.order.size();
--- a/libs/weights/tests/chunk_transfer_tests.cpp
+++ b/libs/weights/tests/chunk_transfer_tests.cpp
@@ -53,7 +53,7 @@
 
 origin_fetch_schedule schedule()
 {
-    return plan_draws(fleet(), {}, 32768, start);
+    return plan_origin_fetches(fleet(), {}, 32768, start);
 }
 
 // The schedule of an agent that stands in no fleet.
--- a/libs/weights/tests/origin_schedule_tests.cpp
+++ b/libs/weights/tests/origin_schedule_tests.cpp
@@ -36,7 +36,7 @@
 
 origin_fetch_schedule schedule_of(std::size_t agents)
 {
-    return plan_draws(fleet_of(agents), origin, chunk_bytes, start);
+    return plan_origin_fetches(fleet_of(agents), origin, chunk_bytes, start);
 }
 
 } // namespace
