--- a/libs/weights/include/weights/origin_schedule.hpp
+++ b/libs/weights/include/weights/origin_schedule.hpp
@@ -63,7 +63,7 @@
     base::time_point start);
 
 // The agent that draws the chunk first; empty in an empty fleet.
-std::string drawer_of(origin_fetch_schedule const& schedule, std::uint32_t chunk);
+std::string origin_fetcher_of(origin_fetch_schedule const& schedule, std::uint32_t chunk);
 
 // How many others draw the chunk before this agent does; zero for its drawer.
 // Nothing for an agent that the schedule does not know.
--- a/libs/weights/src/chunk_transfer.cpp
+++ b/libs/weights/src/chunk_transfer.cpp
@@ -330,7 +330,7 @@
 {
     auto sources = sources_of(
         look.plans, look.place.failure_domain, look.place.agent,
-        look.place.label, index, {}, drawer_of(look.schedule, index));
+        look.place.label, index, {}, origin_fetcher_of(look.schedule, index));
     if (sources)
     {
         put_later_drawers(look, *sources, index);
@@ -397,7 +397,7 @@
         found.begin(), found.end(),
         [&look](std::uint32_t index)
         {
-            return drawer_of(look.schedule, index) != look.place.agent;
+            return origin_fetcher_of(look.schedule, index) != look.place.agent;
         });
     return found;
 }
--- a/libs/weights/src/origin_schedule.cpp
+++ b/libs/weights/src/origin_schedule.cpp
@@ -83,7 +83,7 @@
     return schedule;
 }
 
-std::string drawer_of(origin_fetch_schedule const& schedule, std::uint32_t chunk)
+std::string origin_fetcher_of(origin_fetch_schedule const& schedule, std::uint32_t chunk)
 {
     return schedule.order.empty() ? std::string()
                                   : schedule.order[chunk % schedule.drawers];
--- a/libs/weights/tests/chunk_transfer_tests.cpp
+++ b/libs/weights/tests/chunk_transfer_tests.cpp
@@ -378,7 +378,7 @@
     }
 
     origin_fetch_schedule draws = schedule();
-    std::string drawer = drawer_of(this->draws, 0);
+    std::string drawer = origin_fetcher_of(this->draws, 0);
     transfer_requester place{
         this->draws.order[1].substr(0, 1), this->draws.order[1], "m@2", {}};
     chunk_transfer transfer;
@@ -436,7 +436,7 @@
     EXPECT_EQ(asks.size(), transfer_limits{}.total);
     for (auto const& wanted : asks)
     {
-        EXPECT_NE(drawer_of(draws, wanted.index), agent) << wanted.index;
+        EXPECT_NE(origin_fetcher_of(draws, wanted.index), agent) << wanted.index;
     }
 }
 
--- a/libs/weights/tests/origin_schedule_tests.cpp
+++ b/libs/weights/tests/origin_schedule_tests.cpp
@@ -51,7 +51,7 @@
         std::set<std::string> drawers;
         for (std::uint32_t chunk = 0; chunk < chunk_count; ++chunk)
         {
-            drawers.insert(drawer_of(schedule, chunk));
+            drawers.insert(origin_fetcher_of(schedule, chunk));
         }
         EXPECT_LE(drawers.size() * 4, origin.connections);
         EXPECT_GE(drawers.size() * 4, std::min<std::size_t>(agents, 48));
@@ -64,7 +64,7 @@
     std::map<char, int> by_domain;
     for (std::uint32_t chunk = 0; chunk < schedule.drawers; ++chunk)
     {
-        ++by_domain[drawer_of(schedule, chunk).front()];
+        ++by_domain[origin_fetcher_of(schedule, chunk).front()];
     }
     EXPECT_EQ(by_domain.size(), 3U);
     EXPECT_EQ(by_domain['a'], by_domain['c']);
@@ -140,7 +140,7 @@
 TEST(origin_schedule, one_that_is_in_no_list_has_no_turn)
 {
     EXPECT_FALSE(turn_of(schedule_of(24), "z", 3));
-    EXPECT_TRUE(drawer_of({}, 3).empty());
+    EXPECT_TRUE(origin_fetcher_of({}, 3).empty());
 }
 
 } // namespace foxtailvale::weights
