--- a/libs/gateway/src/version_fetch.cpp
+++ b/libs/gateway/src/version_fetch.cpp
@@ -96,14 +96,14 @@
     {
         return std::string();
     }
-    // The first of the own failure domain has it first, then the other drawers
+    // The first of the own failure domain has it first, then the other fetchers
     // there, who ask the first; when they are gone, somebody else has it.
     auto const& agents = found->second.endpoints;
     auto const rank = static_cast<std::size_t>(
         std::ranges::find(agents, own, &control::plan_endpoint::agent) -
         agents.begin());
     auto const near = std::clamp<std::size_t>(
-        schedule.drawers / schedule.domains, 1, agents.size());
+        schedule.fetchers / schedule.domains, 1, agents.size());
     auto const among = held.manifest_tries < peer_tries ? near : agents.size();
     auto const first = rank < near ? 0 : rank;
     auto const& chosen = agents[(first + held.manifest_tries) % among];
--- a/libs/weights/include/weights/chunk_transfer.hpp
+++ b/libs/weights/include/weights/chunk_transfer.hpp
@@ -92,7 +92,7 @@
     std::size_t total = 24;
     std::size_t per_agent = 8;
     // Draws from the origin: one hides no other's round trip of a few
-    // milliseconds, and the drawers fill its link together.
+    // milliseconds, and the fetchers fill its link together.
     std::size_t origin = 1;
 };
 
@@ -135,7 +135,7 @@
 
 // Drawers to be asked now whether they live, each noted as asked. Those who
 // stand in ask a moment after a chunk's slot when it has not come. Failure: two
-// drawers ended within a second of a naming, who stood in found out after a
+// fetchers ended within a second of a naming, who stood in found out after a
 // second and more for each chunk, and the origin died before.
 std::vector<chunk_source> next_liveness_checks(
     chunk_transfer& state,
--- a/libs/weights/include/weights/origin_schedule.hpp
+++ b/libs/weights/include/weights/origin_schedule.hpp
@@ -41,7 +41,7 @@
     // the first few stand in all of them.
     std::vector<std::string> order;
     // So many of them draw at first.
-    std::size_t drawers = 1;
+    std::size_t fetchers = 1;
     // So many failure domains want the version.
     std::size_t domains = 1;
     // The draws begin then, each chunk one interval after the one before.
@@ -88,8 +88,8 @@
     origin_fetch_schedule const& schedule, std::size_t turn, std::uint32_t chunk);
 
 // Whether the agent may ask the origin for the version's manifest by now: the
-// first of each failure domain at once, the other drawers half a second later,
-// of the others as many more every other second. Failure: with all drawers at
+// first of each failure domain at once, the other fetchers half a second later,
+// of the others as many more every other second. Failure: with all fetchers at
 // once, the last of their manifests stood behind the first ones' chunks.
 bool may_ask_for_manifest(
     origin_fetch_schedule const& schedule,
@@ -98,7 +98,7 @@
     base::time_point now);
 
 // How long a draw may take before it is given up, after so many failures in a
-// row: four times what it takes when all drawers draw at once, and twice as
+// row: four times what it takes when all fetchers draw at once, and twice as
 // much after each failure. Failure: the origin loses power and answers nothing;
 // a draw that waits for it goes on waiting after it is back.
 std::chrono::milliseconds
--- a/libs/weights/src/chunk_transfer.cpp
+++ b/libs/weights/src/chunk_transfer.cpp
@@ -22,7 +22,7 @@
 constexpr std::chrono::milliseconds waiting_time{700};
 
 // How long it counts that another agent draws a chunk: what one draw takes when
-// all drawers draw at once, three times over.
+// all fetchers draw at once, three times over.
 constexpr std::chrono::milliseconds said_time{1000};
 
 // Draws that an agent announces: the one under way and the next. Those behind
@@ -282,17 +282,17 @@
 void put_later_drawers(
     asking const& look, chunk_sources& sources, std::uint32_t index)
 {
-    auto const drawers =
-        earlier_drawers(look.schedule, look.schedule.drawers, index);
+    auto const fetchers =
+        earlier_drawers(look.schedule, look.schedule.fetchers, index);
     std::vector<chunk_source> found;
-    for (std::size_t turn = 1; turn < drawers.size(); ++turn)
+    for (std::size_t turn = 1; turn < fetchers.size(); ++turn)
     {
         auto const due = draws_at(look.schedule, turn, index, look.state.begun);
         if (look.now < due)
         {
             break;
         }
-        if (auto const source = source_named(look.plans, drawers[turn]);
+        if (auto const source = source_named(look.plans, fetchers[turn]);
             source && source->agent != look.place.agent)
         {
             found.push_back(*source);
@@ -380,7 +380,7 @@
 }
 
 // Chunks that are neither here nor asked for, those that this agent is the
-// first to draw behind all others. Failure: while the origin was away, drawers
+// first to draw behind all others. Failure: while the origin was away, fetchers
 // asked each other for these, and when it was back, they drew later ones first,
 // which nobody was asking for yet.
 std::vector<std::uint32_t> missing_in_order(asking const& look)
--- a/libs/weights/src/origin_schedule.cpp
+++ b/libs/weights/src/origin_schedule.cpp
@@ -16,7 +16,7 @@
 // Where the origin does not say how many connections it accepts.
 constexpr std::uint32_t unsaid_connections = 32;
 
-// Between the turns of a chunk's drawers. A chunk is with its drawer a tenth
+// Between the turns of a chunk's fetchers. A chunk is with its drawer a tenth
 // of a second after its slot; the rest covers a drawer that learns of the
 // version half a second late.
 constexpr milliseconds turn_time{1000};
@@ -73,7 +73,7 @@
         }
     }
     schedule.domains = std::max<std::size_t>(1, fleet.size());
-    schedule.drawers = count_drawers(origin, schedule.order.size());
+    schedule.fetchers = count_drawers(origin, schedule.order.size());
     schedule.start = start;
     if (origin.bytes_per_second > 0)
     {
@@ -86,7 +86,7 @@
 std::string origin_fetcher_of(origin_fetch_schedule const& schedule, std::uint32_t chunk)
 {
     return schedule.order.empty() ? std::string()
-                                  : schedule.order[chunk % schedule.drawers];
+                                  : schedule.order[chunk % schedule.fetchers];
 }
 
 std::optional<std::size_t> turn_of(
@@ -99,12 +99,12 @@
     {
         return std::nullopt;
     }
-    if (place >= schedule.drawers)
+    if (place >= schedule.fetchers)
     {
         return place;
     }
-    auto const first = chunk % schedule.drawers;
-    return (place + schedule.drawers - first) % schedule.drawers;
+    auto const first = chunk % schedule.fetchers;
+    return (place + schedule.fetchers - first) % schedule.fetchers;
 }
 
 base::time_point draws_at(
@@ -123,10 +123,10 @@
     origin_fetch_schedule const& schedule, std::size_t turn, std::uint32_t chunk)
 {
     std::vector<std::string> found;
-    auto const count = std::min(turn, schedule.drawers);
+    auto const count = std::min(turn, schedule.fetchers);
     for (std::size_t step = 0; step < count; ++step)
     {
-        found.push_back(schedule.order[(chunk + step) % schedule.drawers]);
+        found.push_back(schedule.order[(chunk + step) % schedule.fetchers]);
     }
     return found;
 }
@@ -138,11 +138,11 @@
     base::time_point now)
 {
     auto const place = place_of(schedule, agent);
-    if (place < schedule.drawers)
+    if (place < schedule.fetchers)
     {
         return place < schedule.domains || now >= begun + other_drawers_time;
     }
-    auto const group = static_cast<int>(place / schedule.drawers);
+    auto const group = static_cast<int>(place / schedule.fetchers);
     return now >= begun + manifest_turn_time * group;
 }
 
@@ -150,7 +150,7 @@
 draw_limit(origin_fetch_schedule const& schedule, std::uint32_t failures)
 {
     auto const all_at_once = std::chrono::duration_cast<milliseconds>(
-        schedule.interval * static_cast<int>(schedule.drawers));
+        schedule.interval * static_cast<int>(schedule.fetchers));
     auto const limit = std::max(draw_slack * all_at_once, shortest_limit);
     return std::min(
         limit * (1 << std::min(failures, most_doublings)), longest_limit);
--- a/libs/weights/tests/burst_tests.cpp
+++ b/libs/weights/tests/burst_tests.cpp
@@ -138,7 +138,7 @@
     EXPECT_LE(after.copies, 1.2);
 }
 
-// Guards against chunks of drawers that end without a word being missed by the
+// Guards against chunks of fetchers that end without a word being missed by the
 // whole fleet until an origin that dies soon after is back.
 TEST(burst, chunks_of_stopped_drawers_are_drawn_before_the_origin_dies)
 {
--- a/libs/weights/tests/burst_world.cpp
+++ b/libs/weights/tests/burst_world.cpp
@@ -160,7 +160,7 @@
         plan_origin_fetches(state.fleet, {origin_rate, accepted}, chunk_bytes, named);
     if (course.all_draw)
     {
-        state.schedule.drawers = state.schedule.order.size();
+        state.schedule.fetchers = state.schedule.order.size();
     }
     for (std::size_t number = 0; number < course.holders; ++number)
     {
--- a/libs/weights/tests/chunk_transfer_tests.cpp
+++ b/libs/weights/tests/chunk_transfer_tests.cpp
@@ -419,7 +419,7 @@
     EXPECT_FALSE(agent.draws_first_chunk(start + may_check + liveness_check_timeout));
 }
 
-// Guards against drawers that ask each other for their own chunks while the
+// Guards against fetchers that ask each other for their own chunks while the
 // origin is away, and then draw later ones first, which nobody asks for yet.
 TEST(chunk_transfer, own_chunks_are_asked_of_others_behind_all_the_rest)
 {
--- a/libs/weights/tests/origin_schedule_tests.cpp
+++ b/libs/weights/tests/origin_schedule_tests.cpp
@@ -48,13 +48,13 @@
     for (std::size_t const agents : {1UL, 3UL, 24UL, 88UL, 300UL, 1500UL})
     {
         auto const schedule = schedule_of(agents);
-        std::set<std::string> drawers;
+        std::set<std::string> fetchers;
         for (std::uint32_t chunk = 0; chunk < chunk_count; ++chunk)
         {
-            drawers.insert(origin_fetcher_of(schedule, chunk));
+            fetchers.insert(origin_fetcher_of(schedule, chunk));
         }
-        EXPECT_LE(drawers.size() * 4, origin.connections);
-        EXPECT_GE(drawers.size() * 4, std::min<std::size_t>(agents, 48));
+        EXPECT_LE(fetchers.size() * 4, origin.connections);
+        EXPECT_GE(fetchers.size() * 4, std::min<std::size_t>(agents, 48));
     }
 }
 
@@ -62,7 +62,7 @@
 {
     auto const schedule = schedule_of(88);
     std::map<char, int> by_domain;
-    for (std::uint32_t chunk = 0; chunk < schedule.drawers; ++chunk)
+    for (std::uint32_t chunk = 0; chunk < schedule.fetchers; ++chunk)
     {
         ++by_domain[origin_fetcher_of(schedule, chunk).front()];
     }
