--- a/libs/weights/include/weights/origin_schedule.hpp
+++ b/libs/weights/include/weights/origin_schedule.hpp
@@ -77,7 +77,7 @@
 // counted from when the agent itself began, so that an agent that starts late
 // waits for the others as long. Failure: the drawer is cut off from the origin,
 // dead or slow to start.
-base::time_point draws_at(
+base::time_point origin_fetch_time(
     origin_fetch_schedule const& schedule,
     std::size_t turn,
     std::uint32_t chunk,
--- a/libs/weights/src/chunk_transfer.cpp
+++ b/libs/weights/src/chunk_transfer.cpp
@@ -265,8 +265,8 @@
     auto const turn = turn_of(look.schedule, look.place.agent, index);
     auto const stands_alone =
         turn && *turn <= most_checking && all_gone(look, index, *turn);
-    auto const due = stands_alone ? draws_at(look.schedule, 0, index, begun)
-                     : turn       ? draws_at(look.schedule, *turn, index, begun)
+    auto const due = stands_alone ? origin_fetch_time(look.schedule, 0, index, begun)
+                     : turn       ? origin_fetch_time(look.schedule, *turn, index, begun)
                                   : begun + alone_time;
     if (look.now < due || !is_usable(look.book, {}, look.now))
     {
@@ -287,7 +287,7 @@
     std::vector<chunk_source> found;
     for (std::size_t turn = 1; turn < fetchers.size(); ++turn)
     {
-        auto const due = draws_at(look.schedule, turn, index, look.state.begun);
+        auto const due = origin_fetch_time(look.schedule, turn, index, look.state.begun);
         if (look.now < due)
         {
             break;
@@ -484,7 +484,7 @@
         auto const turn = turn_of(schedule, place.agent, index);
         if (state.chunks[index] || !turn || *turn == 0 ||
             *turn > most_checking ||
-            now < draws_at(schedule, 0, index, state.begun) +
+            now < origin_fetch_time(schedule, 0, index, state.begun) +
                       check_time * static_cast<int>(*turn))
         {
             continue;
--- a/libs/weights/src/origin_schedule.cpp
+++ b/libs/weights/src/origin_schedule.cpp
@@ -107,7 +107,7 @@
     return (place + schedule.fetchers - first) % schedule.fetchers;
 }
 
-base::time_point draws_at(
+base::time_point origin_fetch_time(
     origin_fetch_schedule const& schedule,
     std::size_t turn,
     std::uint32_t chunk,
--- a/libs/weights/tests/origin_schedule_tests.cpp
+++ b/libs/weights/tests/origin_schedule_tests.cpp
@@ -85,7 +85,7 @@
             ASSERT_TRUE(turn);
             ++turns[*turn];
             auto const slot = start + chunk * schedule.interval;
-            if (draws_at(schedule, *turn, chunk, start) <= slot + seconds(6))
+            if (origin_fetch_time(schedule, *turn, chunk, start) <= slot + seconds(6))
             {
                 within.insert(agent);
             }
@@ -98,7 +98,7 @@
 TEST(origin_schedule, the_whole_copy_takes_the_time_of_the_origins_link)
 {
     auto const schedule = schedule_of(88);
-    auto const last = draws_at(schedule, 0, chunk_count - 1, start);
+    auto const last = origin_fetch_time(schedule, 0, chunk_count - 1, start);
     EXPECT_LE(last, start + milliseconds(1700));
     EXPECT_GE(last, start + milliseconds(1500));
 }
@@ -109,8 +109,8 @@
 {
     auto const schedule = schedule_of(24);
     auto const late = start + seconds(20);
-    EXPECT_EQ(draws_at(schedule, 1, 5, late), late + seconds(1));
-    EXPECT_LT(draws_at(schedule, 0, 5, late), late);
+    EXPECT_EQ(origin_fetch_time(schedule, 1, 5, late), late + seconds(1));
+    EXPECT_LT(origin_fetch_time(schedule, 0, 5, late), late);
 }
 
 TEST(origin_schedule, the_manifest_is_asked_for_by_few_at_first)
