--- a/libs/weights/include/weights/origin_schedule.hpp
+++ b/libs/weights/include/weights/origin_schedule.hpp
@@ -84,7 +84,7 @@
     base::time_point begun);
 
 // Agents whose turn comes before this one's, the drawer first.
-std::vector<std::string> earlier_drawers(
+std::vector<std::string> earlier_fetchers(
     origin_fetch_schedule const& schedule, std::size_t turn, std::uint32_t chunk);
 
 // Whether the agent may ask the origin for the version's manifest by now: the
--- a/libs/weights/src/chunk_transfer.cpp
+++ b/libs/weights/src/chunk_transfer.cpp
@@ -209,7 +209,7 @@
 bool all_gone(asking const& look, std::uint32_t index, std::size_t turn)
 {
     return std::ranges::all_of(
-        earlier_drawers(look.schedule, turn, index),
+        earlier_fetchers(look.schedule, turn, index),
         [&look](std::string const& drawer)
         {
             return is_gone(look.state, drawer, look.now);
@@ -239,7 +239,7 @@
     std::uint32_t index,
     std::size_t turn)
 {
-    for (auto const& drawer : earlier_drawers(look.schedule, turn, index))
+    for (auto const& drawer : earlier_fetchers(look.schedule, turn, index))
     {
         if (is_gone(look.state, drawer, look.now))
         {
@@ -283,7 +283,7 @@
     asking const& look, chunk_sources& sources, std::uint32_t index)
 {
     auto const fetchers =
-        earlier_drawers(look.schedule, look.schedule.fetchers, index);
+        earlier_fetchers(look.schedule, look.schedule.fetchers, index);
     std::vector<chunk_source> found;
     for (std::size_t turn = 1; turn < fetchers.size(); ++turn)
     {
@@ -311,7 +311,7 @@
     std::size_t turn,
     base::time_point now)
 {
-    for (auto const& drawer : earlier_drawers(schedule, turn, index))
+    for (auto const& drawer : earlier_fetchers(schedule, turn, index))
     {
         if (is_gone(state, drawer, now))
         {
--- a/libs/weights/src/origin_schedule.cpp
+++ b/libs/weights/src/origin_schedule.cpp
@@ -119,7 +119,7 @@
                : std::max(slot, begun) + turn_time * static_cast<int>(turn);
 }
 
-std::vector<std::string> earlier_drawers(
+std::vector<std::string> earlier_fetchers(
     origin_fetch_schedule const& schedule, std::size_t turn, std::uint32_t chunk)
 {
     std::vector<std::string> found;
