--- a/libs/gateway/src/version_fetch.cpp
+++ b/libs/gateway/src/version_fetch.cpp
@@ -391,7 +391,7 @@
                     : peer_chunk_request(state.model, next.version, index);
     auto const number = from_origin ? 0 : this->begin(next);
     auto const limit = from_origin
-                           ? weights::draw_limit(
+                           ? weights::origin_fetch_timeout(
                                  draws_of(state, next.version),
                                  weights::failures_of(state.sources, {}))
                            : chunk_limit;
--- a/libs/weights/include/weights/origin_schedule.hpp
+++ b/libs/weights/include/weights/origin_schedule.hpp
@@ -102,7 +102,7 @@
 // much after each failure. Failure: the origin loses power and answers nothing;
 // a draw that waits for it goes on waiting after it is back.
 std::chrono::milliseconds
-draw_limit(origin_fetch_schedule const& schedule, std::uint32_t failures);
+origin_fetch_timeout(origin_fetch_schedule const& schedule, std::uint32_t failures);
 
 } // namespace foxtailvale::weights
 
--- a/libs/weights/src/origin_schedule.cpp
+++ b/libs/weights/src/origin_schedule.cpp
@@ -147,7 +147,7 @@
 }
 
 std::chrono::milliseconds
-draw_limit(origin_fetch_schedule const& schedule, std::uint32_t failures)
+origin_fetch_timeout(origin_fetch_schedule const& schedule, std::uint32_t failures)
 {
     auto const all_at_once = std::chrono::duration_cast<milliseconds>(
         schedule.interval * static_cast<int>(schedule.fetchers));
--- a/libs/weights/tests/burst_world.cpp
+++ b/libs/weights/tests/burst_world.cpp
@@ -189,7 +189,7 @@
     state.connections[number] = state.now;
     state.outcome.most_connections =
         std::max(state.outcome.most_connections, state.connections.size());
-    auto const limit = draw_limit(state.schedule, failures_of(own.book, {}));
+    auto const limit = origin_fetch_timeout(state.schedule, failures_of(own.book, {}));
     state.draws.push_back({number, index, chunk_bytes, state.now + limit});
 }
 
--- a/libs/weights/tests/origin_schedule_tests.cpp
+++ b/libs/weights/tests/origin_schedule_tests.cpp
@@ -131,10 +131,10 @@
 TEST(origin_schedule, a_draw_that_hangs_is_given_up_and_then_given_more_time)
 {
     auto const schedule = schedule_of(88);
-    EXPECT_LE(draw_limit(schedule, 0), milliseconds(1300));
-    EXPECT_GE(draw_limit(schedule, 0), milliseconds(800));
-    EXPECT_EQ(draw_limit(schedule, 1), 2 * draw_limit(schedule, 0));
-    EXPECT_LE(draw_limit(schedule, 9), milliseconds(4000));
+    EXPECT_LE(origin_fetch_timeout(schedule, 0), milliseconds(1300));
+    EXPECT_GE(origin_fetch_timeout(schedule, 0), milliseconds(800));
+    EXPECT_EQ(origin_fetch_timeout(schedule, 1), 2 * origin_fetch_timeout(schedule, 0));
+    EXPECT_LE(origin_fetch_timeout(schedule, 9), milliseconds(4000));
 }
 
 TEST(origin_schedule, one_that_is_in_no_list_has_no_turn)
