--- a/libs/agent_core/src/chunk_requests.cpp
+++ b/libs/agent_core/src/chunk_requests.cpp
@@ -101,7 +101,7 @@
     turn.missing_before = missing_before;
     turn.transfers = static_cast<std::uint32_t>(state.weights.transfers.size());
     turn.last_chunk = transfer.last_chunk;
-    if (!weights::may_draw(state.weights.origin, turn, now))
+    if (!weights::may_fetch_from_origin(state.weights.origin, turn, now))
     {
         return;
     }
--- a/libs/gateway/src/version_fetch.cpp
+++ b/libs/gateway/src/version_fetch.cpp
@@ -87,12 +87,12 @@
     {
         return std::nullopt;
     }
-    auto const may_draw =
+    auto const may_fetch_from_origin =
         weights::may_ask_for_manifest(schedule, own, begun, clock::now());
     auto const found = state.fleet.find(state.settings.failure_domain);
     // The origin and the others take turns where it may be asked at all.
     if (found == state.fleet.end() || schedule.order.size() < 2 ||
-        (may_draw && held.manifest_tries % 2 == 0))
+        (may_fetch_from_origin && held.manifest_tries % 2 == 0))
     {
         return std::string();
     }
--- a/libs/weights/include/weights/origin_pace.hpp
+++ b/libs/weights/include/weights/origin_pace.hpp
@@ -54,7 +54,7 @@
 // left to weights, and only while few earlier chunks are missing. So the link
 // is asked for no more than its share, whoever imports, and when it yields
 // less the draws slow down with it.
-bool may_draw(
+bool may_fetch_from_origin(
     origin_pace const& pace, import_turn const& turn, base::time_point now);
 
 void note_draw(origin_pace& pace);
--- a/libs/weights/src/origin_pace.cpp
+++ b/libs/weights/src/origin_pace.cpp
@@ -32,7 +32,7 @@
 
 } // namespace
 
-bool may_draw(
+bool may_fetch_from_origin(
     origin_pace const& pace, import_turn const& turn, base::time_point now)
 {
     if (now < pace.not_before || pace.running >= most_running ||
--- a/libs/weights/tests/origin_pace_tests.cpp
+++ b/libs/weights/tests/origin_pace_tests.cpp
@@ -42,9 +42,9 @@
 TEST(origin_pace, each_chunk_is_drawn_in_its_own_slot)
 {
     auto const pace = narrow_pace();
-    EXPECT_TRUE(may_draw(pace, turn_of(0, 0), start));
-    EXPECT_FALSE(may_draw(pace, turn_of(5, 2), start + milliseconds(499)));
-    EXPECT_TRUE(may_draw(pace, turn_of(5, 2), start + milliseconds(500)));
+    EXPECT_TRUE(may_fetch_from_origin(pace, turn_of(0, 0), start));
+    EXPECT_FALSE(may_fetch_from_origin(pace, turn_of(5, 2), start + milliseconds(499)));
+    EXPECT_TRUE(may_fetch_from_origin(pace, turn_of(5, 2), start + milliseconds(500)));
 }
 
 TEST(origin_pace, transfers_share_the_link)
@@ -52,8 +52,8 @@
     auto const pace = narrow_pace();
     auto turn = turn_of(5, 2);
     turn.transfers = 2;
-    EXPECT_FALSE(may_draw(pace, turn, start + milliseconds(999)));
-    EXPECT_TRUE(may_draw(pace, turn, start + milliseconds(1000)));
+    EXPECT_FALSE(may_fetch_from_origin(pace, turn, start + milliseconds(999)));
+    EXPECT_TRUE(may_fetch_from_origin(pace, turn, start + milliseconds(1000)));
 }
 
 // Live requests take more of the link than was left to them. Chunks come
@@ -63,9 +63,9 @@
     auto const pace = narrow_pace();
     auto turn = turn_of(20, 8);
     turn.last_chunk = start + seconds(9);
-    EXPECT_FALSE(may_draw(pace, turn, start + seconds(10)));
+    EXPECT_FALSE(may_fetch_from_origin(pace, turn, start + seconds(10)));
     turn.missing_before = 7;
-    EXPECT_TRUE(may_draw(pace, turn, start + seconds(10)));
+    EXPECT_TRUE(may_fetch_from_origin(pace, turn, start + seconds(10)));
 }
 
 // The importers of earlier chunks died. Waiting for those would stop the rest.
@@ -73,8 +73,8 @@
 {
     auto const pace = narrow_pace();
     auto const turn = turn_of(20, 8);
-    EXPECT_FALSE(may_draw(pace, turn, start + milliseconds(1400)));
-    EXPECT_TRUE(may_draw(pace, turn, start + milliseconds(2100)));
+    EXPECT_FALSE(may_fetch_from_origin(pace, turn, start + milliseconds(1400)));
+    EXPECT_TRUE(may_fetch_from_origin(pace, turn, start + milliseconds(2100)));
 }
 
 // The weight store refuses reads. Agents that all came back after the same
@@ -92,7 +92,7 @@
         EXPECT_GE(pause, milliseconds(250));
         EXPECT_LT(pause, milliseconds(500));
         first.insert(pace.not_before);
-        EXPECT_FALSE(may_draw(pace, turn_of(0, 0), start + milliseconds(249)));
+        EXPECT_FALSE(may_fetch_from_origin(pace, turn_of(0, 0), start + milliseconds(249)));
         note_draw_ended(pace, draw_outcome::failed, random, start);
         EXPECT_GE(pace.not_before - start, milliseconds(500));
         for (int more = 0; more < 20; ++more)
@@ -114,11 +114,11 @@
     base::random_state random{1};
     note_draw(pace);
     note_draw(pace);
-    EXPECT_FALSE(may_draw(pace, turn_of(0, 0), start));
+    EXPECT_FALSE(may_fetch_from_origin(pace, turn_of(0, 0), start));
     note_draw_ended(pace, draw_outcome::failed, random, start);
-    EXPECT_FALSE(may_draw(pace, turn_of(0, 0), start + seconds(1)));
+    EXPECT_FALSE(may_fetch_from_origin(pace, turn_of(0, 0), start + seconds(1)));
     note_draw_ended(pace, draw_outcome::failed, random, start);
-    EXPECT_TRUE(may_draw(pace, turn_of(0, 0), start + seconds(2)));
+    EXPECT_TRUE(may_fetch_from_origin(pace, turn_of(0, 0), start + seconds(2)));
     EXPECT_TRUE(suspects_origin(pace, start + seconds(2)));
     note_draw_ended(pace, draw_outcome::good, random, start + seconds(2));
     EXPECT_FALSE(suspects_origin(pace, start + seconds(2)));
