--- a/libs/agent_core/src/chunk_requests.cpp
+++ b/libs/agent_core/src/chunk_requests.cpp
@@ -105,7 +105,7 @@
     {
         return;
     }
-    weights::note_draw(state.weights.origin);
+    weights::note_origin_fetch_started(state.weights.origin);
     transfer.pending[index] = {"", now, std::nullopt};
     out.push_back(fetch_chunk{transfer.digest, index});
 }
--- a/libs/agent_core/src/manifest_flow.cpp
+++ b/libs/agent_core/src/manifest_flow.cpp
@@ -62,7 +62,7 @@
         now >= state.weights.origin.not_before)
     {
         transfer.manifest_drawn = true;
-        weights::note_draw(state.weights.origin);
+        weights::note_origin_fetch_started(state.weights.origin);
         out.push_back(fetch_manifest{transfer.digest});
     }
 }
--- a/libs/weights/include/weights/origin_pace.hpp
+++ b/libs/weights/include/weights/origin_pace.hpp
@@ -57,7 +57,7 @@
 bool may_fetch_from_origin(
     origin_pace const& pace, import_turn const& turn, base::time_point now);
 
-void note_draw(origin_pace& pace);
+void note_origin_fetch_started(origin_pace& pace);
 
 // The draw ended; after a refusal or failure the agent leaves the origin alone
 // for a time that doubles and is drawn at random, so that an outage does not
--- a/libs/weights/src/origin_pace.cpp
+++ b/libs/weights/src/origin_pace.cpp
@@ -60,7 +60,7 @@
     return passed >= turn.index * slot;
 }
 
-void note_draw(origin_pace& pace)
+void note_origin_fetch_started(origin_pace& pace)
 {
     ++pace.running;
 }
--- a/libs/weights/tests/origin_pace_tests.cpp
+++ b/libs/weights/tests/origin_pace_tests.cpp
@@ -86,7 +86,7 @@
     {
         origin_pace pace;
         base::random_state random{seed};
-        note_draw(pace);
+        note_origin_fetch_started(pace);
         note_draw_ended(pace, draw_outcome::failed, random, start);
         auto const pause = pace.not_before - start;
         EXPECT_GE(pause, milliseconds(250));
@@ -112,8 +112,8 @@
 {
     origin_pace pace;
     base::random_state random{1};
-    note_draw(pace);
-    note_draw(pace);
+    note_origin_fetch_started(pace);
+    note_origin_fetch_started(pace);
     EXPECT_FALSE(may_fetch_from_origin(pace, turn_of(0, 0), start));
     note_draw_ended(pace, draw_outcome::failed, random, start);
     EXPECT_FALSE(may_fetch_from_origin(pace, turn_of(0, 0), start + seconds(1)));
