--- a/libs/agent_core/src/manifest_flow.cpp
+++ b/libs/agent_core/src/manifest_flow.cpp
@@ -237,7 +237,7 @@
             ? base::result<void>(
                   base::fail(reply.failure->kind, reply.failure->detail))
             : accept_manifest(state, reply.digest, reply.text, now, out);
-    weights::note_draw_ended(
+    weights::note_origin_fetch_ended(
         state.weights.origin,
         kept ? weights::draw_outcome::good
              : outcome_of(std::optional<base::error>(kept.error())),
--- a/libs/agent_core/src/transfer_flow.cpp
+++ b/libs/agent_core/src/transfer_flow.cpp
@@ -373,7 +373,7 @@
 {
     auto const end_draw = [&](weights::draw_outcome outcome)
     {
-        weights::note_draw_ended(
+        weights::note_origin_fetch_ended(
             state.weights.origin, outcome, state.random, now);
     };
     auto const found = state.weights.transfers.find(reply.digest);
--- a/libs/weights/include/weights/origin_pace.hpp
+++ b/libs/weights/include/weights/origin_pace.hpp
@@ -63,7 +63,7 @@
 // for a time that doubles and is drawn at random, so that an outage does not
 // end in a stampede. After refusals it grows less: the store gives something to
 // somebody all the time, and long pauses would leave that unused.
-void note_draw_ended(
+void note_origin_fetch_ended(
     origin_pace& pace,
     draw_outcome outcome,
     base::random_state& random,
--- a/libs/weights/src/origin_pace.cpp
+++ b/libs/weights/src/origin_pace.cpp
@@ -65,7 +65,7 @@
     ++pace.running;
 }
 
-void note_draw_ended(
+void note_origin_fetch_ended(
     origin_pace& pace,
     draw_outcome outcome,
     base::random_state& random,
