--- a/libs/agent_core/src/manifest_flow.cpp
+++ b/libs/agent_core/src/manifest_flow.cpp
@@ -239,7 +239,7 @@
             : accept_manifest(state, reply.digest, reply.text, now, out);
     weights::note_origin_fetch_ended(
         state.weights.origin,
-        kept ? weights::draw_outcome::good
+        kept ? weights::origin_fetch_outcome::good
              : outcome_of(std::optional<base::error>(kept.error())),
         state.random, now);
     if (!kept)
--- a/libs/agent_core/src/transfer_flow.cpp
+++ b/libs/agent_core/src/transfer_flow.cpp
@@ -371,7 +371,7 @@
 void on_origin_chunk(
     state& state, origin_chunk const& reply, base::time_point now, actions& out)
 {
-    auto const end_draw = [&](weights::draw_outcome outcome)
+    auto const end_draw = [&](weights::origin_fetch_outcome outcome)
     {
         weights::note_origin_fetch_ended(
             state.weights.origin, outcome, state.random, now);
@@ -399,7 +399,7 @@
     // Wrong bytes are a failed draw: the next waits, so that a passing fault
     // does not use up the origin's link.
     end_draw(
-        kept ? weights::draw_outcome::good : weights::draw_outcome::failed);
+        kept ? weights::origin_fetch_outcome::good : weights::origin_fetch_outcome::failed);
     if (kept)
     {
         return;
--- a/libs/agent_core/src/weights_parts.cpp
+++ b/libs/agent_core/src/weights_parts.cpp
@@ -49,15 +49,15 @@
     out.push_back(std::move(message));
 }
 
-weights::draw_outcome outcome_of(std::optional<base::error> const& failure)
+weights::origin_fetch_outcome outcome_of(std::optional<base::error> const& failure)
 {
     if (!failure)
     {
-        return weights::draw_outcome::good;
+        return weights::origin_fetch_outcome::good;
     }
     return failure->kind == base::error_kind::origin_refused
-               ? weights::draw_outcome::refused
-               : weights::draw_outcome::failed;
+               ? weights::origin_fetch_outcome::refused
+               : weights::origin_fetch_outcome::failed;
 }
 
 std::string held_bitmap(state const& state, std::string const& digest)
--- a/libs/weights/include/weights/origin_pace.hpp
+++ b/libs/weights/include/weights/origin_pace.hpp
@@ -23,7 +23,7 @@
 };
 
 // How a draw ended.
-enum class draw_outcome
+enum class origin_fetch_outcome
 {
     good,
     // The store is there and allows no more reads now.
@@ -65,7 +65,7 @@
 // somebody all the time, and long pauses would leave that unused.
 void note_origin_fetch_ended(
     origin_pace& pace,
-    draw_outcome outcome,
+    origin_fetch_outcome outcome,
     base::random_state& random,
     base::time_point now);
 
--- a/libs/weights/src/origin_pace.cpp
+++ b/libs/weights/src/origin_pace.cpp
@@ -67,18 +67,18 @@
 
 void note_origin_fetch_ended(
     origin_pace& pace,
-    draw_outcome outcome,
+    origin_fetch_outcome outcome,
     base::random_state& random,
     base::time_point now)
 {
     pace.running -= pace.running > 0 ? 1 : 0;
-    if (outcome == draw_outcome::good)
+    if (outcome == origin_fetch_outcome::good)
     {
         pace.failures_in_a_row = 0;
         return;
     }
     auto const doublings = std::min(
-        pace.failures_in_a_row, outcome == draw_outcome::refused
+        pace.failures_in_a_row, outcome == origin_fetch_outcome::refused
                                     ? most_doublings_refused
                                     : most_doublings);
     ++pace.failures_in_a_row;
