--- a/libs/agent_core/src/chunk_requests.cpp
+++ b/libs/agent_core/src/chunk_requests.cpp
@@ -93,7 +93,7 @@
     actions& out)
 {
     auto const& version = state.weights.store.versions.at(transfer.digest);
-    weights::import_turn turn;
+    weights::import_slot turn;
     turn.started = transfer.described;
     turn.in_turn = state.weights.how == distribution::forest;
     turn.index = index;
--- a/libs/weights/include/weights/origin_pace.hpp
+++ b/libs/weights/include/weights/origin_pace.hpp
@@ -32,7 +32,7 @@
 };
 
 // One chunk whose turn at the origin is asked for.
-struct import_turn
+struct import_slot
 {
     // When the transfer began.
     base::time_point started;
@@ -55,7 +55,7 @@
 // is asked for no more than its share, whoever imports, and when it yields
 // less the draws slow down with it.
 bool may_fetch_from_origin(
-    origin_pace const& pace, import_turn const& turn, base::time_point now);
+    origin_pace const& pace, import_slot const& turn, base::time_point now);
 
 void note_origin_fetch_started(origin_pace& pace);
 
--- a/libs/weights/src/origin_pace.cpp
+++ b/libs/weights/src/origin_pace.cpp
@@ -33,7 +33,7 @@
 } // namespace
 
 bool may_fetch_from_origin(
-    origin_pace const& pace, import_turn const& turn, base::time_point now)
+    origin_pace const& pace, import_slot const& turn, base::time_point now)
 {
     if (now < pace.not_before || pace.running >= most_running ||
         (pace.failures_in_a_row > 0 && pace.running > 0))
--- a/libs/weights/tests/origin_pace_tests.cpp
+++ b/libs/weights/tests/origin_pace_tests.cpp
@@ -24,9 +24,9 @@
     return pace;
 }
 
-import_turn turn_of(std::uint32_t index, std::uint32_t missing_before)
+import_slot turn_of(std::uint32_t index, std::uint32_t missing_before)
 {
-    import_turn turn;
+    import_slot turn;
     turn.started = start;
     turn.index = index;
     turn.chunk_bytes = chunk_bytes;
