--- a/libs/gateway/src/version_fetch.cpp
+++ b/libs/gateway/src/version_fetch.cpp
@@ -88,7 +88,7 @@
         return std::nullopt;
     }
     auto const may_fetch_from_origin =
-        weights::may_ask_for_manifest(schedule, own, begun, clock::now());
+        weights::may_request_manifest(schedule, own, begun, clock::now());
     auto const found = state.fleet.find(state.settings.failure_domain);
     // The origin and the others take turns where it may be asked at all.
     if (found == state.fleet.end() || schedule.order.size() < 2 ||
--- a/libs/weights/include/weights/origin_schedule.hpp
+++ b/libs/weights/include/weights/origin_schedule.hpp
@@ -91,7 +91,7 @@
 // first of each failure domain at once, the other fetchers half a second later,
 // of the others as many more every other second. Failure: with all fetchers at
 // once, the last of their manifests stood behind the first ones' chunks.
-bool may_ask_for_manifest(
+bool may_request_manifest(
     origin_fetch_schedule const& schedule,
     std::string const& agent,
     base::time_point begun,
--- a/libs/weights/src/origin_schedule.cpp
+++ b/libs/weights/src/origin_schedule.cpp
@@ -131,7 +131,7 @@
     return found;
 }
 
-bool may_ask_for_manifest(
+bool may_request_manifest(
     origin_fetch_schedule const& schedule,
     std::string const& agent,
     base::time_point begun,
--- a/libs/weights/tests/origin_schedule_tests.cpp
+++ b/libs/weights/tests/origin_schedule_tests.cpp
@@ -120,9 +120,9 @@
     std::size_t in_the_end = 0;
     for (auto const& agent : schedule.order)
     {
-        at_once += may_ask_for_manifest(schedule, agent, start, start);
+        at_once += may_request_manifest(schedule, agent, start, start);
         in_the_end +=
-            may_ask_for_manifest(schedule, agent, start, start + seconds(20));
+            may_request_manifest(schedule, agent, start, start + seconds(20));
     }
     EXPECT_EQ(at_once, schedule.domains);
     EXPECT_EQ(in_the_end, 88U);
