--- a/libs/agent_core/src/transfer_flow.cpp
+++ b/libs/agent_core/src/transfer_flow.cpp
@@ -170,7 +170,7 @@
         }
         else
         {
-            weights::strike(state.weights.book, agent, now);
+            weights::avoid_after_failure(state.weights.book, agent, now);
         }
     }
 }
@@ -462,7 +462,7 @@
     drop_pending(state, found->second, request.index());
     if (weights::note_unreachable(state.weights.book, failed.peer, now))
     {
-        weights::strike(state.weights.book, failed.peer, now);
+        weights::avoid_after_failure(state.weights.book, failed.peer, now);
     }
 }
 
--- a/libs/gateway/src/version_fetch.cpp
+++ b/libs/gateway/src/version_fetch.cpp
@@ -331,7 +331,7 @@
         }
         auto const slow = found->second;
         this->fetches.erase(found);
-        weights::strike(this->context->sources, slow.wanted.source.agent, now);
+        weights::avoid_after_failure(this->context->sources, slow.wanted.source.agent, now);
         weights::withdraw(
             this->context->versions[slow.version].transfer,
             this->context->sources, slow.wanted.index);
--- a/libs/weights/include/weights/source_table.hpp
+++ b/libs/weights/include/weights/source_table.hpp
@@ -78,7 +78,7 @@
     source_book& book, std::string const& agent, base::time_point now);
 
 // The source failed: avoided for a time that doubles with each failure.
-void strike(source_book& book, std::string const& agent, base::time_point now);
+void avoid_after_failure(source_book& book, std::string const& agent, base::time_point now);
 
 // The source failed and is asked again soon: avoided for a fraction of a second
 // that doubles up to one and a half. Made for a fleet whose versions must be in
--- a/libs/weights/src/chunk_transfer.cpp
+++ b/libs/weights/src/chunk_transfer.cpp
@@ -644,7 +644,7 @@
         // it costs as long again.
         if (!agent.empty() && now - asked > silent_time)
         {
-            strike(book, agent, now);
+            avoid_after_failure(book, agent, now);
         }
         else
         {
--- a/libs/weights/src/source_book.cpp
+++ b/libs/weights/src/source_book.cpp
@@ -119,7 +119,7 @@
     return now - record.unreachable_since > connect_limit;
 }
 
-void strike(source_book& book, std::string const& agent, base::time_point now)
+void avoid_after_failure(source_book& book, std::string const& agent, base::time_point now)
 {
     auto& record = book.sources[agent];
     auto const doublings = std::min(record.strikes, most_doublings);
@@ -160,7 +160,7 @@
     source_book& book, std::string const& agent, base::time_point now)
 {
     book.last_silence = now;
-    strike(book, agent, now);
+    avoid_after_failure(book, agent, now);
 }
 
 bool is_silent(
--- a/libs/weights/tests/burst_world.cpp
+++ b/libs/weights/tests/burst_world.cpp
@@ -313,7 +313,7 @@
     auto& own = state.agents[number];
     for (auto const slow : squeezed_fetches(own.receiving, state.now))
     {
-        strike(own.book, own.receiving.running.at(slow).agent, state.now);
+        avoid_after_failure(own.book, own.receiving.running.at(slow).agent, state.now);
         if (auto const found = own.fetches.find(slow);
             found != own.fetches.end() && !found->second.withdrawn)
         {
--- a/libs/weights/tests/source_book_tests.cpp
+++ b/libs/weights/tests/source_book_tests.cpp
@@ -62,13 +62,13 @@
 TEST(source_book, a_source_that_fails_again_is_avoided_for_longer)
 {
     source_book book;
-    strike(book, "p", start);
+    avoid_after_failure(book, "p", start);
     EXPECT_FALSE(is_usable(book, "p", start + milliseconds(1999)));
     EXPECT_TRUE(is_usable(book, "p", start + milliseconds(2000)));
-    strike(book, "p", start);
+    avoid_after_failure(book, "p", start);
     EXPECT_FALSE(is_usable(book, "p", start + milliseconds(3999)));
     note_delivered(book, "p", chunk_bytes, seconds(1));
-    strike(book, "p", start + seconds(10));
+    avoid_after_failure(book, "p", start + seconds(10));
     EXPECT_TRUE(is_usable(book, "p", start + seconds(12)));
     blame(book, "p", start + seconds(20));
     EXPECT_FALSE(is_usable(book, "p", start + seconds(300)));
