--- a/libs/weights/include/weights/source_table.hpp
+++ b/libs/weights/include/weights/source_table.hpp
@@ -84,7 +84,7 @@
 // that doubles up to one and a half. Made for a fleet whose versions must be in
 // use within seconds, where an origin that was away for six seconds must not be
 // avoided for ten more. Failures of several chunks at once count as one.
-void hold_off(
+void avoid_briefly(
     source_book& book, std::string const& agent, base::time_point now);
 
 // Failures of the source since its last good chunk.
--- a/libs/weights/src/chunk_transfer.cpp
+++ b/libs/weights/src/chunk_transfer.cpp
@@ -589,7 +589,7 @@
     if (!offer(state, index, bytes))
     {
         note_dropped(book, asked.source.agent);
-        hold_off(book, asked.source.agent, now);
+        avoid_briefly(book, asked.source.agent, now);
         return false;
     }
     note_delivered(
@@ -648,7 +648,7 @@
         }
         else
         {
-            hold_off(book, agent, now);
+            avoid_briefly(book, agent, now);
         }
         break;
     }
--- a/libs/weights/src/source_book.cpp
+++ b/libs/weights/src/source_book.cpp
@@ -128,7 +128,7 @@
     record.unreachable = false;
 }
 
-void hold_off(source_book& book, std::string const& agent, base::time_point now)
+void avoid_briefly(source_book& book, std::string const& agent, base::time_point now)
 {
     auto& record = book.sources[agent];
     if (record.avoid_until > now)
--- a/libs/weights/tests/chunk_transfer_tests.cpp
+++ b/libs/weights/tests/chunk_transfer_tests.cpp
@@ -429,7 +429,7 @@
     auto const draws = schedule();
     auto const& agent = draws.order.front();
     auto const now = start + seconds(3);
-    hold_off(book, {}, now);
+    avoid_briefly(book, {}, now);
     auto const asks = next_chunk_requests(
         transfer, book, fleet(), {agent.substr(0, 1), agent, "m@2", {}}, draws,
         {}, now);
