--- a/libs/agent_core/src/transfer_flow.cpp
+++ b/libs/agent_core/src/transfer_flow.cpp
@@ -166,7 +166,7 @@
     {
         if (silent_agents.contains(agent))
         {
-            weights::note_silence(state.weights.book, agent, now);
+            weights::note_unresponsive(state.weights.book, agent, now);
         }
         else
         {
--- a/libs/weights/include/weights/source_table.hpp
+++ b/libs/weights/include/weights/source_table.hpp
@@ -74,7 +74,7 @@
 
 // The source is silent: avoided, and others that do not answer are given up
 // sooner for a while.
-void note_silence(
+void note_unresponsive(
     source_book& book, std::string const& agent, base::time_point now);
 
 // The source failed: avoided for a time that doubles with each failure.
--- a/libs/weights/src/source_book.cpp
+++ b/libs/weights/src/source_book.cpp
@@ -156,7 +156,7 @@
     record.avoid_until = now + blame_time;
 }
 
-void note_silence(
+void note_unresponsive(
     source_book& book, std::string const& agent, base::time_point now)
 {
     book.last_silence = now;
--- a/libs/weights/tests/source_book_tests.cpp
+++ b/libs/weights/tests/source_book_tests.cpp
@@ -49,7 +49,7 @@
 {
     source_book book;
     note_asked(book, "p", start);
-    note_silence(book, "p", start + seconds(4));
+    note_unresponsive(book, "p", start + seconds(4));
     note_asked(book, "q", start + seconds(4));
     note_asked(book, "r", start + seconds(4));
     note_heard(book, "r", start + milliseconds(4100));
