--- a/libs/agent_core/src/chunk_requests.cpp
+++ b/libs/agent_core/src/chunk_requests.cpp
@@ -129,7 +129,7 @@
     {
         pending.held_since = now;
     }
-    weights::note_asked(state.weights.book, source.agent, now);
+    weights::note_requested(state.weights.book, source.agent, now);
     connect_source(state, source, out);
     core::send_message message{source.agent, {}};
     auto* const request = message.envelope.mutable_chunk_request();
--- a/libs/weights/include/weights/source_table.hpp
+++ b/libs/weights/include/weights/source_table.hpp
@@ -50,7 +50,7 @@
 bool is_usable(
     source_book const& book, std::string const& agent, base::time_point now);
 
-void note_asked(
+void note_requested(
     source_book& book, std::string const& agent, base::time_point now);
 
 // A frame of any kind came from the source.
--- a/libs/weights/src/chunk_transfer.cpp
+++ b/libs/weights/src/chunk_transfer.cpp
@@ -375,7 +375,7 @@
 {
     auto const source = found.source.value_or(chunk_source{});
     look.state.pending[index] = {source, look.now, found.stands_in};
-    note_asked(look.book, source.agent, look.now);
+    note_requested(look.book, source.agent, look.now);
     return {index, source, found.behind};
 }
 
--- a/libs/weights/src/source_book.cpp
+++ b/libs/weights/src/source_book.cpp
@@ -61,7 +61,7 @@
     return record == nullptr || record->avoid_until <= now;
 }
 
-void note_asked(
+void note_requested(
     source_book& book, std::string const& agent, base::time_point now)
 {
     auto& record = book.sources[agent];
--- a/libs/weights/tests/source_book_tests.cpp
+++ b/libs/weights/tests/source_book_tests.cpp
@@ -22,7 +22,7 @@
     for (std::uint32_t asked = 0; asked < most_outstanding; ++asked)
     {
         EXPECT_TRUE(has_room(book, "p"));
-        note_asked(book, "p", start);
+        note_requested(book, "p", start);
     }
     EXPECT_FALSE(has_room(book, "p"));
     note_dropped(book, "p");
@@ -34,8 +34,8 @@
 TEST(source_book, silence_is_told_from_waiting)
 {
     source_book book;
-    note_asked(book, "p", start);
-    note_asked(book, "q", start);
+    note_requested(book, "p", start);
+    note_requested(book, "q", start);
     note_heard(book, "q", start + seconds(3));
     EXPECT_TRUE(is_silent(book, "p", start + milliseconds(3001)));
     EXPECT_FALSE(is_silent(book, "q", start + milliseconds(3001)));
@@ -48,10 +48,10 @@
 TEST(source_book, after_one_silence_others_are_found_out_sooner)
 {
     source_book book;
-    note_asked(book, "p", start);
+    note_requested(book, "p", start);
     note_unresponsive(book, "p", start + seconds(4));
-    note_asked(book, "q", start + seconds(4));
-    note_asked(book, "r", start + seconds(4));
+    note_requested(book, "q", start + seconds(4));
+    note_requested(book, "r", start + seconds(4));
     note_heard(book, "r", start + milliseconds(4100));
     EXPECT_FALSE(is_silent(book, "q", start + seconds(5)));
     EXPECT_TRUE(is_silent(book, "q", start + milliseconds(5200)));
@@ -82,8 +82,8 @@
     source_book book;
     for (std::uint32_t asked = 0; asked < most_outstanding; ++asked)
     {
-        note_asked(book, "slow", start);
-        note_asked(book, "fast", start);
+        note_requested(book, "slow", start);
+        note_requested(book, "fast", start);
     }
     note_delivered(book, "slow", chunk_bytes, milliseconds(105));
     note_delivered(book, "fast", chunk_bytes, milliseconds(5));
