--- a/libs/gateway/src/weights_door.cpp
+++ b/libs/gateway/src/weights_door.cpp
@@ -185,7 +185,7 @@
     }
     if (path->kind == asked_kind::chunk)
     {
-        weights::note_called_in(this->line, clock::now());
+        weights::note_fetch_requested(this->line, clock::now());
     }
     auto behind = std::numeric_limits<std::size_t>::max();
     if (path->kind == asked_kind::question)
--- a/libs/weights/include/weights/send_window.hpp
+++ b/libs/weights/include/weights/send_window.hpp
@@ -33,7 +33,7 @@
 void note_promised(send_line& line, base::time_point now);
 
 // A chunk was asked for, promised before or not.
-void note_called_in(send_line& line, base::time_point now);
+void note_fetch_requested(send_line& line, base::time_point now);
 
 // One that was asked for was sent or is not wanted any more.
 void note_left(send_line& line);
--- a/libs/weights/src/send_line.cpp
+++ b/libs/weights/src/send_line.cpp
@@ -45,7 +45,7 @@
     line.promised.push_back(now);
 }
 
-void note_called_in(send_line& line, base::time_point now)
+void note_fetch_requested(send_line& line, base::time_point now)
 {
     while (!line.promised.empty() && is_stale(line.promised.front(), now))
     {
--- a/libs/weights/tests/burst_world.cpp
+++ b/libs/weights/tests/burst_world.cpp
@@ -333,7 +333,7 @@
         auto& sender = state.agents[source];
         auto const fetch = begin_fetch(own.receiving, sender.name, state.now);
         own.fetches[fetch] = {index, state.now + fetch_limit};
-        note_called_in(sender.line, state.now);
+        note_fetch_requested(sender.line, state.now);
         sender.sends.push_back({number, index, fetch});
     }
 }
--- a/libs/weights/tests/line_tests.cpp
+++ b/libs/weights/tests/line_tests.cpp
@@ -154,7 +154,7 @@
     }
     // Four chunks leave a link of 7.6 Mbit/s in 138 ms.
     EXPECT_EQ(promised, 4);
-    note_called_in(line, start);
+    note_fetch_requested(line, start);
     EXPECT_FALSE(may_promise(line, start));
     note_left(line);
     EXPECT_TRUE(may_promise(line, start));
