--- a/libs/agent_core/src/transfer_flow.cpp
+++ b/libs/agent_core/src/transfer_flow.cpp
@@ -145,7 +145,7 @@
         auto const late =
             pending.held_since &&
             now - *pending.held_since >
-                weights::delivery_limit(
+                weights::delivery_timeout(
                     state.weights.book, pending.agent, chunk_bytes);
         if (silent || late || failed.contains(pending.agent))
         {
--- a/libs/weights/include/weights/source_table.hpp
+++ b/libs/weights/include/weights/source_table.hpp
@@ -103,7 +103,7 @@
 
 // How long a chunk that the source holds may take, from its measured rate and
 // what else is outstanding there.
-std::chrono::milliseconds delivery_limit(
+std::chrono::milliseconds delivery_timeout(
     source_book const& book, std::string const& agent, std::uint32_t bytes);
 
 } // namespace foxtailvale::weights
--- a/libs/weights/src/source_book.cpp
+++ b/libs/weights/src/source_book.cpp
@@ -178,7 +178,7 @@
     return now - record->last_heard > limit;
 }
 
-milliseconds delivery_limit(
+milliseconds delivery_timeout(
     source_book const& book, std::string const& agent, std::uint32_t bytes)
 {
     auto const* const record = find(book, agent);
--- a/libs/weights/tests/source_book_tests.cpp
+++ b/libs/weights/tests/source_book_tests.cpp
@@ -87,9 +87,9 @@
     }
     note_delivered(book, "slow", chunk_bytes, milliseconds(105));
     note_delivered(book, "fast", chunk_bytes, milliseconds(5));
-    EXPECT_GT(delivery_limit(book, "slow", chunk_bytes), milliseconds(3000));
-    EXPECT_LT(delivery_limit(book, "slow", chunk_bytes), milliseconds(4000));
-    EXPECT_EQ(delivery_limit(book, "fast", chunk_bytes), milliseconds(1500));
+    EXPECT_GT(delivery_timeout(book, "slow", chunk_bytes), milliseconds(3000));
+    EXPECT_LT(delivery_timeout(book, "slow", chunk_bytes), milliseconds(4000));
+    EXPECT_EQ(delivery_timeout(book, "fast", chunk_bytes), milliseconds(1500));
 }
 
 } // namespace foxtailvale::weights
