--- a/libs/direct/tests/played_agents.cpp
+++ b/libs/direct/tests/played_agents.cpp
@@ -52,7 +52,7 @@
     {
         return start + found->second.to;
     }
-    auto at = state.now + weights::chunk_time * static_cast<int>(missing);
+    auto at = state.now + weights::chunk_interval * static_cast<int>(missing);
     auto const named = std::ranges::find(
         own.targets, version, &weights::announced_target::version);
     if (own.arrival)
--- a/libs/gateway/src/agent_context.cpp
+++ b/libs/gateway/src/agent_context.cpp
@@ -182,7 +182,7 @@
         return held.whole;
     }
     auto const missing = held.transfer.digests.size() - held.transfer.held;
-    auto at = now + weights::chunk_time * static_cast<int>(missing);
+    auto at = now + weights::chunk_interval * static_cast<int>(missing);
     auto const& targets = targets_of(state);
     auto const named =
         std::ranges::find(targets, version, &weights::announced_target::version);
--- a/libs/weights/include/weights/switch_time.hpp
+++ b/libs/weights/include/weights/switch_time.hpp
@@ -65,7 +65,7 @@
     base::time_point now);
 
 // How long a missing chunk takes to come during a burst.
-inline constexpr std::chrono::milliseconds chunk_time{45};
+inline constexpr std::chrono::milliseconds chunk_interval{45};
 
 // When the engine switches to the target, if the chunks are there. An engine
 // that serves nothing does so at once. What runs there ends first: whatever is
--- a/libs/weights/src/switch_time.cpp
+++ b/libs/weights/src/switch_time.cpp
@@ -133,7 +133,7 @@
     {
         return chosen;
     }
-    auto const left = chunk_time * static_cast<int>(chunks_to_come(chosen));
+    auto const left = chunk_interval * static_cast<int>(chunks_to_come(chosen));
     if (left < switch_cost || now + left <= unmet->named + ask.bound)
     {
         return chosen;
