--- a/libs/control/include/control/membership.hpp
+++ b/libs/control/include/control/membership.hpp
@@ -126,7 +126,7 @@
 // day are: moving a replica costs a VM's link a copy of the weights, and moving
 // it back another. What is lost by waiting is a replica for this long, which
 // the others bear; and a planner that has just started has heard nobody yet.
-inline constexpr std::chrono::milliseconds move_patience{30'000};
+inline constexpr std::chrono::milliseconds replica_move_delay{30'000};
 
 // Whether a plan may give the endpoint something to hold. One that leaves
 // loses its replicas at once, a new one gets some when it is heard.
--- a/libs/control/src/membership.cpp
+++ b/libs/control/src/membership.cpp
@@ -188,7 +188,7 @@
     case liveness::suspected:
         break;
     }
-    return held_before && now - known.absent_since < move_patience;
+    return held_before && now - known.absent_since < replica_move_delay;
 }
 
 std::vector<std::string> suspect_silent(membership& state, base::time_point now)
--- a/libs/entry_core/tests/control_failure_tests.cpp
+++ b/libs/entry_core/tests/control_failure_tests.cpp
@@ -465,7 +465,7 @@
     ASSERT_EQ(before.size(), 3U);
     auto const dead = *before.begin();
     rig.agents.erase(dead);
-    rig.run_for(control::move_patience + seconds(6));
+    rig.run_for(control::replica_move_delay + seconds(6));
     EXPECT_EQ(holders().size(), 3U);
     EXPECT_FALSE(holders().contains(dead));
 }
