--- a/libs/control/include/control/membership.hpp
+++ b/libs/control/include/control/membership.hpp
@@ -96,7 +96,7 @@
     std::uint64_t version);
 
 // The list as it is applied, whole, for a peer that has another version.
-list_change whole_list(membership const& state);
+list_change full_list(membership const& state);
 
 // Takes over a change: adds, updates, removes. False when it is not newer or
 // does not fit the list that is applied. Liveness that was heard at first hand
--- a/libs/control/src/membership.cpp
+++ b/libs/control/src/membership.cpp
@@ -96,7 +96,7 @@
     return change;
 }
 
-list_change whole_list(membership const& state)
+list_change full_list(membership const& state)
 {
     list_change change;
     change.version = state.list_version;
--- a/libs/entry_core/src/membership_flow.cpp
+++ b/libs/entry_core/src/membership_flow.cpp
@@ -289,7 +289,7 @@
 
 void push_whole_list(state const& state, std::string const& peer, actions& out)
 {
-    send_change(control::whole_list(state.control.members), peer, out);
+    send_change(control::full_list(state.control.members), peer, out);
 }
 
 void on_leaving(
