--- a/libs/control/include/control/topology.hpp
+++ b/libs/control/include/control/topology.hpp
@@ -76,7 +76,7 @@
     std::size_t count);
 
 // Agents of other failure domains that this entry may send work to.
-std::vector<std::string> far_endpoints(
+std::vector<std::string> remote_endpoints(
     membership const& members,
     std::map<std::string, domain_plan> const& plans,
     std::string const& own_domain,
--- a/libs/control/src/topology.cpp
+++ b/libs/control/src/topology.cpp
@@ -168,7 +168,7 @@
     return entries;
 }
 
-std::vector<std::string> far_endpoints(
+std::vector<std::string> remote_endpoints(
     membership const& members,
     std::map<std::string, domain_plan> const& plans,
     std::string const& own_domain,
--- a/libs/entry_core/src/membership_flow.cpp
+++ b/libs/entry_core/src/membership_flow.cpp
@@ -132,7 +132,7 @@
 void choose_far(state& state)
 {
     auto& gossip = state.control.gossip;
-    auto const chosen = control::far_endpoints(
+    auto const chosen = control::remote_endpoints(
         state.control.members, state.control.plans, state.self.failure_domain,
         state.self.name);
     gossip.far = {chosen.begin(), chosen.end()};
