--- a/libs/control/src/membership.cpp
+++ b/libs/control/src/membership.cpp
@@ -176,7 +176,7 @@
     known.state = known.vm.leaving ? liveness::leaving : reported;
 }
 
-bool may_hold(member const& known, bool held_before, base::time_point now)
+bool may_hold_replicas(member const& known, bool held_before, base::time_point now)
 {
     switch (known.state)
     {
--- a/libs/entry_core/src/planner_flow.cpp
+++ b/libs/entry_core/src/planner_flow.cpp
@@ -57,7 +57,7 @@
                                vm.memory_mib > 0 &&
                                vm.failure_domain == state.self.failure_domain;
         if (is_engine &&
-            control::may_hold(member, held_before.contains(name), now))
+            control::may_hold_replicas(member, held_before.contains(name), now))
         {
             members.push_back({name, vm.address, vm.memory_mib});
         }
