--- a/libs/control/include/control/membership.hpp
+++ b/libs/control/include/control/membership.hpp
@@ -66,7 +66,7 @@
     base::time_point absent_since;
     // Whether its silence says anything: it sends its heartbeats here. What
     // others report of a member is believed without a time limit.
-    bool first_hand = true;
+    bool heard_directly = true;
     // Silence for longer than this is suspected.
     std::chrono::milliseconds patience = silence_limit;
 };
--- a/libs/control/src/membership.cpp
+++ b/libs/control/src/membership.cpp
@@ -197,7 +197,7 @@
     for (auto& [name, known] : state.members)
     {
         auto const silent =
-            known.first_hand && now - known.heard > known.patience;
+            known.heard_directly && now - known.heard > known.patience;
         if (known.state == liveness::alive && silent)
         {
             known.state = liveness::suspected;
--- a/libs/entry_core/src/endpoint_flow.cpp
+++ b/libs/entry_core/src/endpoint_flow.cpp
@@ -146,7 +146,7 @@
         return;
     }
     auto& known = found->second;
-    auto const heard_here = known.first_hand &&
+    auto const heard_here = known.heard_directly &&
                             known.state == control::liveness::alive &&
                             now - known.heard <= known.patience;
     if (heard_here)
--- a/libs/entry_core/src/membership_flow.cpp
+++ b/libs/entry_core/src/membership_flow.cpp
@@ -112,10 +112,10 @@
         {
             listened.insert(name);
         }
-        if (is_listener != known.first_hand ||
+        if (is_listener != known.heard_directly ||
             (is_listener && !gossip.listened.contains(name)))
         {
-            known.first_hand = is_listener;
+            known.heard_directly = is_listener;
             known.heard = now;
             known.patience = control::silence_limit;
         }
