--- a/libs/control/include/control/planner.hpp
+++ b/libs/control/include/control/planner.hpp
@@ -35,7 +35,7 @@
     domain_plan const& previous);
 
 // Whether two plans order the same.
-bool same_orders(domain_plan const& left, domain_plan const& right);
+bool same_assignments(domain_plan const& left, domain_plan const& right);
 
 } // namespace foxtailvale::control
 
--- a/libs/control/src/planner.cpp
+++ b/libs/control/src/planner.cpp
@@ -149,7 +149,7 @@
     return plan;
 }
 
-bool same_orders(domain_plan const& left, domain_plan const& right)
+bool same_assignments(domain_plan const& left, domain_plan const& right)
 {
     return left.region == right.region && left.endpoints == right.endpoints;
 }
--- a/libs/entry_core/src/planner_flow.cpp
+++ b/libs/entry_core/src/planner_flow.cpp
@@ -73,7 +73,7 @@
     auto next = control::make_plan(
         control.configuration, domain, plan_members(state, previous, now),
         previous);
-    if (control::same_orders(next, previous) ||
+    if (control::same_assignments(next, previous) ||
         !may_call(state, call_purpose::plan_write, now))
     {
         return;
