--- a/libs/control/include/control/membership.hpp
+++ b/libs/control/include/control/membership.hpp
@@ -134,7 +134,7 @@
 
 // Suspects all that have been silent too long; returns the newly suspected.
 std::vector<std::string>
-suspect_silent(membership& state, base::time_point now);
+suspect_unresponsive(membership& state, base::time_point now);
 
 } // namespace foxtailvale::control
 
--- a/libs/control/src/membership.cpp
+++ b/libs/control/src/membership.cpp
@@ -191,7 +191,7 @@
     return held_before && now - known.absent_since < replica_move_delay;
 }
 
-std::vector<std::string> suspect_silent(membership& state, base::time_point now)
+std::vector<std::string> suspect_unresponsive(membership& state, base::time_point now)
 {
     std::vector<std::string> suspects;
     for (auto& [name, known] : state.members)
--- a/libs/control/tests/membership_tests.cpp
+++ b/libs/control/tests/membership_tests.cpp
@@ -17,9 +17,9 @@
     EXPECT_TRUE(apply_change(state, diff_list(state, {vm}, 1), start));
     EXPECT_TRUE(note_heartbeat(state, "agent-1", false, start));
     EXPECT_FALSE(note_heartbeat(state, "stranger", false, start));
-    EXPECT_TRUE(suspect_silent(state, start + silence_limit).empty());
+    EXPECT_TRUE(suspect_unresponsive(state, start + silence_limit).empty());
     auto const later = start + silence_limit + milliseconds(1);
-    EXPECT_EQ(suspect_silent(state, later).size(), 1U);
+    EXPECT_EQ(suspect_unresponsive(state, later).size(), 1U);
     EXPECT_TRUE(apply_change(state, diff_list(state, {vm}, 2), later));
     EXPECT_EQ(state.members["agent-1"].state, liveness::suspected);
     note_heartbeat(state, "agent-1", false, later);
