--- a/libs/agent_core/include/agent_core/agent_core.hpp
+++ b/libs/agent_core/include/agent_core/agent_core.hpp
@@ -161,7 +161,7 @@
 {
     weights::chunk_store store;
     distribution how = distribution::forest;
-    weights::source_book book;
+    weights::source_table book;
     weights::origin_pace origin;
     weights::upload_queue uploads;
     base::time_point last_progress_note;
--- a/libs/gateway/src/agent_context.hpp
+++ b/libs/gateway/src/agent_context.hpp
@@ -75,7 +75,7 @@
 
     // By version.
     std::map<std::uint64_t, held_version> versions;
-    weights::source_book sources;
+    weights::source_table sources;
     // Time from the naming of a version until it was whole here, as last seen.
     std::optional<std::chrono::milliseconds> arrival;
 
--- a/libs/weights/include/weights/chunk_transfer.hpp
+++ b/libs/weights/include/weights/chunk_transfer.hpp
@@ -153,7 +153,7 @@
 // Chunks to ask for now, each noted as pending.
 std::vector<wanted_chunk> next_chunk_requests(
     chunk_transfer& state,
-    source_book& book,
+    source_table& book,
     plan_set const& plans,
     transfer_requester const& place,
     origin_fetch_schedule const& schedule,
@@ -168,13 +168,13 @@
 // match its digest is dropped, its source is avoided and another is asked.
 bool deliver(
     chunk_transfer& state,
-    source_book& book,
+    source_table& book,
     std::uint32_t index,
     std::string bytes,
     base::time_point now);
 
 // Forgets a question for a chunk that has come another way meanwhile.
-void withdraw(chunk_transfer& state, source_book& book, std::uint32_t index);
+void withdraw(chunk_transfer& state, source_table& book, std::uint32_t index);
 
 enum class chunk_loss
 {
@@ -189,7 +189,7 @@
 // A chunk that was asked for will not come from there.
 void lose(
     chunk_transfer& state,
-    source_book& book,
+    source_table& book,
     std::uint32_t index,
     chunk_loss why,
     base::time_point now);
--- a/libs/weights/include/weights/source_book.hpp
+++ b/libs/weights/include/weights/source_book.hpp
@@ -32,7 +32,7 @@
 };
 
 // All sources by agent name, shared by all transfers of one agent.
-struct source_book
+struct source_table
 {
     std::map<std::string, source_record> sources;
     // When one was last found silent.
@@ -44,25 +44,25 @@
 inline constexpr std::uint32_t most_outstanding = 8;
 
 // Whether the source may be asked for one more chunk.
-bool has_room(source_book const& book, std::string const& agent);
+bool has_room(source_table const& book, std::string const& agent);
 
 // Whether the source is not being avoided.
 bool is_usable(
-    source_book const& book, std::string const& agent, base::time_point now);
+    source_table const& book, std::string const& agent, base::time_point now);
 
 void note_requested(
-    source_book& book, std::string const& agent, base::time_point now);
+    source_table& book, std::string const& agent, base::time_point now);
 
 // A frame of any kind came from the source.
 void note_heard(
-    source_book& book, std::string const& agent, base::time_point now);
+    source_table& book, std::string const& agent, base::time_point now);
 
 // A chunk that was asked for is no longer awaited there.
-void note_dropped(source_book& book, std::string const& agent);
+void note_dropped(source_table& book, std::string const& agent);
 
 // A good chunk of this size came after this time.
 void note_delivered(
-    source_book& book,
+    source_table& book,
     std::string const& agent,
     std::uint32_t bytes,
     std::chrono::nanoseconds took);
@@ -70,28 +70,28 @@
 // A frame could not be sent; true when the source is to be given up. A
 // connection that is only being made fails for a moment too.
 bool note_unreachable(
-    source_book& book, std::string const& agent, base::time_point now);
+    source_table& book, std::string const& agent, base::time_point now);
 
 // The source is silent: avoided, and others that do not answer are given up
 // sooner for a while.
 void note_unresponsive(
-    source_book& book, std::string const& agent, base::time_point now);
+    source_table& book, std::string const& agent, base::time_point now);
 
 // The source failed: avoided for a time that doubles with each failure.
-void avoid_after_failure(source_book& book, std::string const& agent, base::time_point now);
+void avoid_after_failure(source_table& book, std::string const& agent, base::time_point now);
 
 // The source failed and is asked again soon: avoided for a fraction of a second
 // that doubles up to one and a half. Made for a fleet whose versions must be in
 // use within seconds, where an origin that was away for six seconds must not be
 // avoided for ten more. Failures of several chunks at once count as one.
 void avoid_briefly(
-    source_book& book, std::string const& agent, base::time_point now);
+    source_table& book, std::string const& agent, base::time_point now);
 
 // Failures of the source since its last good chunk.
-std::uint32_t failures_of(source_book const& book, std::string const& agent);
+std::uint32_t failures_of(source_table const& book, std::string const& agent);
 
 // The source sent bytes that are not the chunk: avoided for minutes.
-void blame(source_book& book, std::string const& agent, base::time_point now);
+void blame(source_table& book, std::string const& agent, base::time_point now);
 
 // Chunks are outstanding and nothing at all has come for too long. A live
 // source that still waits for a chunk itself says so twice a second.
@@ -99,12 +99,12 @@
 // after one fell silent, another that has not answered at all is given up
 // much sooner, so that a chunk's way past many dead stays short.
 bool is_silent(
-    source_book const& book, std::string const& agent, base::time_point now);
+    source_table const& book, std::string const& agent, base::time_point now);
 
 // How long a chunk that the source holds may take, from its measured rate and
 // what else is outstanding there.
 std::chrono::milliseconds delivery_timeout(
-    source_book const& book, std::string const& agent, std::uint32_t bytes);
+    source_table const& book, std::string const& agent, std::uint32_t bytes);
 
 } // namespace foxtailvale::weights
 
--- a/libs/weights/src/chunk_transfer.cpp
+++ b/libs/weights/src/chunk_transfer.cpp
@@ -176,7 +176,7 @@
 struct asking
 {
     chunk_transfer& state;
-    source_book& book;
+    source_table& book;
     plan_set const& plans;
     transfer_requester const& place;
     origin_fetch_schedule const& schedule;
@@ -515,7 +515,7 @@
 
 std::vector<wanted_chunk> next_chunk_requests(
     chunk_transfer& state,
-    source_book& book,
+    source_table& book,
     plan_set const& plans,
     transfer_requester const& place,
     origin_fetch_schedule const& schedule,
@@ -574,7 +574,7 @@
 
 bool deliver(
     chunk_transfer& state,
-    source_book& book,
+    source_table& book,
     std::uint32_t index,
     std::string bytes,
     base::time_point now)
@@ -598,7 +598,7 @@
     return true;
 }
 
-void withdraw(chunk_transfer& state, source_book& book, std::uint32_t index)
+void withdraw(chunk_transfer& state, source_table& book, std::uint32_t index)
 {
     auto const found = state.pending.find(index);
     if (found != state.pending.end())
@@ -610,7 +610,7 @@
 
 void lose(
     chunk_transfer& state,
-    source_book& book,
+    source_table& book,
     std::uint32_t index,
     chunk_loss why,
     base::time_point now)
--- a/libs/weights/src/source_book.cpp
+++ b/libs/weights/src/source_book.cpp
@@ -40,7 +40,7 @@
 constexpr double first_bytes_per_second = 250'000;
 constexpr double smoothing = 0.3;
 
-source_record const* find(source_book const& book, std::string const& agent)
+source_record const* find(source_table const& book, std::string const& agent)
 {
     auto const found = book.sources.find(agent);
     return found == book.sources.end() ? nullptr : &found->second;
@@ -48,21 +48,21 @@
 
 } // namespace
 
-bool has_room(source_book const& book, std::string const& agent)
+bool has_room(source_table const& book, std::string const& agent)
 {
     auto const* const record = find(book, agent);
     return record == nullptr || record->outstanding < most_outstanding;
 }
 
 bool is_usable(
-    source_book const& book, std::string const& agent, base::time_point now)
+    source_table const& book, std::string const& agent, base::time_point now)
 {
     auto const* const record = find(book, agent);
     return record == nullptr || record->avoid_until <= now;
 }
 
 void note_requested(
-    source_book& book, std::string const& agent, base::time_point now)
+    source_table& book, std::string const& agent, base::time_point now)
 {
     auto& record = book.sources[agent];
     if (record.outstanding++ == 0)
@@ -73,7 +73,7 @@
 }
 
 void note_heard(
-    source_book& book, std::string const& agent, base::time_point now)
+    source_table& book, std::string const& agent, base::time_point now)
 {
     auto const found = book.sources.find(agent);
     if (found != book.sources.end())
@@ -84,14 +84,14 @@
     }
 }
 
-void note_dropped(source_book& book, std::string const& agent)
+void note_dropped(source_table& book, std::string const& agent)
 {
     auto& record = book.sources[agent];
     record.outstanding -= record.outstanding > 0 ? 1 : 0;
 }
 
 void note_delivered(
-    source_book& book,
+    source_table& book,
     std::string const& agent,
     std::uint32_t bytes,
     std::chrono::nanoseconds took)
@@ -108,7 +108,7 @@
 }
 
 bool note_unreachable(
-    source_book& book, std::string const& agent, base::time_point now)
+    source_table& book, std::string const& agent, base::time_point now)
 {
     auto& record = book.sources[agent];
     if (!record.unreachable)
@@ -119,7 +119,7 @@
     return now - record.unreachable_since > connect_limit;
 }
 
-void avoid_after_failure(source_book& book, std::string const& agent, base::time_point now)
+void avoid_after_failure(source_table& book, std::string const& agent, base::time_point now)
 {
     auto& record = book.sources[agent];
     auto const doublings = std::min(record.strikes, most_doublings);
@@ -128,7 +128,7 @@
     record.unreachable = false;
 }
 
-void avoid_briefly(source_book& book, std::string const& agent, base::time_point now)
+void avoid_briefly(source_table& book, std::string const& agent, base::time_point now)
 {
     auto& record = book.sources[agent];
     if (record.avoid_until > now)
@@ -143,13 +143,13 @@
                                    first_hold_off * (1U << doublings), longest);
 }
 
-std::uint32_t failures_of(source_book const& book, std::string const& agent)
+std::uint32_t failures_of(source_table const& book, std::string const& agent)
 {
     auto const* const record = find(book, agent);
     return record == nullptr ? 0 : record->strikes;
 }
 
-void blame(source_book& book, std::string const& agent, base::time_point now)
+void blame(source_table& book, std::string const& agent, base::time_point now)
 {
     auto& record = book.sources[agent];
     ++record.strikes;
@@ -157,14 +157,14 @@
 }
 
 void note_unresponsive(
-    source_book& book, std::string const& agent, base::time_point now)
+    source_table& book, std::string const& agent, base::time_point now)
 {
     book.last_silence = now;
     avoid_after_failure(book, agent, now);
 }
 
 bool is_silent(
-    source_book const& book, std::string const& agent, base::time_point now)
+    source_table const& book, std::string const& agent, base::time_point now)
 {
     auto const* const record = find(book, agent);
     if (record == nullptr || record->outstanding == 0)
@@ -179,7 +179,7 @@
 }
 
 milliseconds delivery_timeout(
-    source_book const& book, std::string const& agent, std::uint32_t bytes)
+    source_table const& book, std::string const& agent, std::uint32_t bytes)
 {
     auto const* const record = find(book, agent);
     auto const known = record != nullptr && record->bytes_per_second > 0;
--- a/libs/weights/tests/burst_world.cpp
+++ b/libs/weights/tests/burst_world.cpp
@@ -65,7 +65,7 @@
     base::time_point begins;
     bool begun = false;
     chunk_transfer transfer;
-    source_book book;
+    source_table book;
     receive_line receiving;
     send_line line;
     std::list<question> questions;
--- a/libs/weights/tests/chunk_transfer_tests.cpp
+++ b/libs/weights/tests/chunk_transfer_tests.cpp
@@ -66,7 +66,7 @@
 struct exchange
 {
     std::map<std::string, chunk_transfer> agents;
-    std::map<std::string, source_book> books;
+    std::map<std::string, source_table> books;
     std::uint32_t drawn = 0;
     std::uint32_t rounds = 0;
 };
@@ -195,7 +195,7 @@
 {
     chunk_transfer state;
     begin(state, digests(), start);
-    source_book book;
+    source_table book;
     transfer_requester const place{
         "a", "a4", "m@2", {{"a0", "a0:1"}, {"a1", "a1:1"}, {"a2", "a2:1"}}};
     std::map<std::string, int> asked;
@@ -221,7 +221,7 @@
 {
     chunk_transfer state;
     begin(state, digests(), start);
-    source_book book;
+    source_table book;
     transfer_requester const place{"a", "a2", "m@2", {}};
     note_holdings(state, {"c3", "c3:1"}, std::string(chunk_count, '1'), start);
     auto now = start;
@@ -252,7 +252,7 @@
 {
     chunk_transfer state;
     begin(state, digests(), start);
-    source_book book;
+    source_table book;
     transfer_requester const alone{"z", "z0", "m@2"};
     auto const back = start + seconds(6);
     auto now = start;
@@ -304,7 +304,7 @@
 {
     chunk_transfer state;
     begin(state, digests(), start);
-    source_book book;
+    source_table book;
     std::uint32_t drawn = 0;
     for (auto now = start; now < start + milliseconds(1000);
          now += milliseconds(20))
@@ -331,7 +331,7 @@
 {
     chunk_transfer state;
     begin(state, digests(), start);
-    source_book book;
+    source_table book;
     transfer_limits limits;
     limits.origin = chunk_count;
     limits.total = chunk_count;
@@ -382,7 +382,7 @@
     transfer_requester place{
         this->draws.order[1].substr(0, 1), this->draws.order[1], "m@2", {}};
     chunk_transfer transfer;
-    source_book book;
+    source_table book;
 };
 
 constexpr milliseconds may_check{400};
@@ -425,7 +425,7 @@
 {
     chunk_transfer transfer;
     begin(transfer, digests(), start);
-    source_book book;
+    source_table book;
     auto const draws = schedule();
     auto const& agent = draws.order.front();
     auto const now = start + seconds(3);
--- a/libs/weights/tests/source_book_tests.cpp
+++ b/libs/weights/tests/source_book_tests.cpp
@@ -16,9 +16,9 @@
 
 } // namespace
 
-TEST(source_book, a_source_has_few_chunks_outstanding)
+TEST(source_table, a_source_has_few_chunks_outstanding)
 {
-    source_book book;
+    source_table book;
     for (std::uint32_t asked = 0; asked < most_outstanding; ++asked)
     {
         EXPECT_TRUE(has_room(book, "p"));
@@ -31,9 +31,9 @@
 
 // A source dies with requests in its list. Nothing at all comes from it any
 // more; one that only waits itself still says so twice a second.
-TEST(source_book, silence_is_told_from_waiting)
+TEST(source_table, silence_is_told_from_waiting)
 {
-    source_book book;
+    source_table book;
     note_requested(book, "p", start);
     note_requested(book, "q", start);
     note_heard(book, "q", start + seconds(3));
@@ -45,9 +45,9 @@
 
 // A rack goes. After the first dead source the next ones are found out sooner,
 // but not one that answers.
-TEST(source_book, after_one_silence_others_are_found_out_sooner)
+TEST(source_table, after_one_silence_others_are_found_out_sooner)
 {
-    source_book book;
+    source_table book;
     note_requested(book, "p", start);
     note_unresponsive(book, "p", start + seconds(4));
     note_requested(book, "q", start + seconds(4));
@@ -59,9 +59,9 @@
     EXPECT_TRUE(is_silent(book, "r", start + milliseconds(7200)));
 }
 
-TEST(source_book, a_source_that_fails_again_is_avoided_for_longer)
+TEST(source_table, a_source_that_fails_again_is_avoided_for_longer)
 {
-    source_book book;
+    source_table book;
     avoid_after_failure(book, "p", start);
     EXPECT_FALSE(is_usable(book, "p", start + milliseconds(1999)));
     EXPECT_TRUE(is_usable(book, "p", start + milliseconds(2000)));
@@ -77,9 +77,9 @@
 // Eight chunks of 256 KiB share a link of 20 Mbit/s: each takes 0.8 s, and a
 // limit of one chunk's time would give up all of them. A fast source that
 // stalls is given up much sooner.
-TEST(source_book, the_limit_follows_the_measured_rate)
+TEST(source_table, the_limit_follows_the_measured_rate)
 {
-    source_book book;
+    source_table book;
     for (std::uint32_t asked = 0; asked < most_outstanding; ++asked)
     {
         note_requested(book, "slow", start);
