--- a/libs/agent_core/include/agent_core/agent_core.hpp
+++ b/libs/agent_core/include/agent_core/agent_core.hpp
@@ -8,7 +8,7 @@
 #include <weights/chunk_store.hpp>
 #include <weights/forest.hpp>
 #include <weights/origin_pace.hpp>
-#include <weights/source_book.hpp>
+#include <weights/source_table.hpp>
 #include <weights/upload_queue.hpp>
 
 #include <core/drain.hpp>
--- a/libs/weights/include/weights/chunk_transfer.hpp
+++ b/libs/weights/include/weights/chunk_transfer.hpp
@@ -4,7 +4,7 @@
 #include <weights/chunk_store.hpp>
 #include <weights/forest.hpp>
 #include <weights/origin_schedule.hpp>
-#include <weights/source_book.hpp>
+#include <weights/source_table.hpp>
 
 #include <cstdint>
 #include <map>
--- a/libs/weights/src/source_book.cpp
+++ b/libs/weights/src/source_book.cpp
@@ -1,4 +1,4 @@
-#include <weights/source_book.hpp>
+#include <weights/source_table.hpp>
 
 #include <algorithm>
 
