--- a/libs/gateway/src/weights_door.hpp
+++ b/libs/gateway/src/weights_door.hpp
@@ -106,7 +106,7 @@
     std::shared_ptr<net::http_server> server;
     std::list<asked_part> waiting;
     std::list<running_send> sends;
-    weights::send_line line;
+    weights::send_window line;
     // No chunk is sent before then.
     base::time_point next_send;
     boost::asio::steady_timer timer;
--- a/libs/weights/include/weights/send_line.hpp
+++ b/libs/weights/include/weights/send_line.hpp
@@ -19,7 +19,7 @@
 // one agent. Who waited for them took its link for a squeezed one and avoided
 // it for up to half a minute, one after the other, until nobody was left to
 // ask: added engines were filled in ten seconds instead of three.
-struct send_line
+struct send_window
 {
     // Promises that nobody has called in yet, oldest first.
     std::deque<base::time_point> promised;
@@ -28,15 +28,15 @@
 };
 
 // Whether one more chunk may be promised.
-bool may_promise(send_line const& line, base::time_point now);
+bool may_promise(send_window const& line, base::time_point now);
 
-void note_promised(send_line& line, base::time_point now);
+void note_promised(send_window& line, base::time_point now);
 
 // A chunk was asked for, promised before or not.
-void note_fetch_requested(send_line& line, base::time_point now);
+void note_fetch_requested(send_window& line, base::time_point now);
 
 // One that was asked for was sent or is not wanted any more.
-void note_left(send_line& line);
+void note_left(send_window& line);
 
 } // namespace foxtailvale::weights
 
--- a/libs/weights/src/send_line.cpp
+++ b/libs/weights/src/send_line.cpp
@@ -25,7 +25,7 @@
 
 } // namespace
 
-bool may_promise(send_line const& line, base::time_point now)
+bool may_promise(send_window const& line, base::time_point now)
 {
     auto const open = std::ranges::count_if(
         line.promised,
@@ -36,7 +36,7 @@
     return static_cast<std::size_t>(open) + line.waiting < most_outstanding;
 }
 
-void note_promised(send_line& line, base::time_point now)
+void note_promised(send_window& line, base::time_point now)
 {
     while (!line.promised.empty() && is_stale(line.promised.front(), now))
     {
@@ -45,7 +45,7 @@
     line.promised.push_back(now);
 }
 
-void note_fetch_requested(send_line& line, base::time_point now)
+void note_fetch_requested(send_window& line, base::time_point now)
 {
     while (!line.promised.empty() && is_stale(line.promised.front(), now))
     {
@@ -58,7 +58,7 @@
     ++line.waiting;
 }
 
-void note_left(send_line& line)
+void note_left(send_window& line)
 {
     line.waiting -= line.waiting > 0 ? 1 : 0;
 }
--- a/libs/weights/tests/burst_world.cpp
+++ b/libs/weights/tests/burst_world.cpp
@@ -67,7 +67,7 @@
     chunk_transfer transfer;
     source_table book;
     receive_line receiving;
-    send_line line;
+    send_window line;
     std::list<question> questions;
     std::vector<check_question> checks;
     std::deque<sending> sends;
--- a/libs/weights/tests/line_tests.cpp
+++ b/libs/weights/tests/line_tests.cpp
@@ -140,9 +140,9 @@
 
 // Many agents are filled at once and ask the same few. Told yes, a dozen of
 // them wait for one link, and each takes its own link for squeezed.
-TEST(send_line, no_more_is_promised_than_is_sent_soon)
+TEST(send_window, no_more_is_promised_than_is_sent_soon)
 {
-    send_line line;
+    send_window line;
     int promised = 0;
     for (int asked = 0; asked < 12; ++asked)
     {
@@ -161,9 +161,9 @@
 }
 
 // Whoever was promised a chunk fetches it elsewhere, or is gone.
-TEST(send_line, a_promise_that_is_not_called_in_is_not_waited_for)
+TEST(send_window, a_promise_that_is_not_called_in_is_not_waited_for)
 {
-    send_line line;
+    send_window line;
     for (int asked = 0; asked < 4; ++asked)
     {
         note_promised(line, start);
