--- a/libs/gateway/src/weights_door.hpp
+++ b/libs/gateway/src/weights_door.hpp
@@ -4,7 +4,7 @@
 #include "agent_context.hpp"
 
 #include <net/http_server.hpp>
-#include <weights/send_line.hpp>
+#include <weights/send_window.hpp>
 
 #include <list>
 
--- a/libs/weights/src/send_line.cpp
+++ b/libs/weights/src/send_line.cpp
@@ -1,4 +1,4 @@
-#include <weights/send_line.hpp>
+#include <weights/send_window.hpp>
 
 #include <algorithm>
 
--- a/libs/weights/tests/burst_world.hpp
+++ b/libs/weights/tests/burst_world.hpp
@@ -3,7 +3,7 @@
 
 #include <weights/chunk_transfer.hpp>
 #include <weights/receive_window.hpp>
-#include <weights/send_line.hpp>
+#include <weights/send_window.hpp>
 
 #include <deque>
 #include <functional>
--- a/libs/weights/tests/line_tests.cpp
+++ b/libs/weights/tests/line_tests.cpp
@@ -1,5 +1,5 @@
 #include <weights/receive_window.hpp>
-#include <weights/send_line.hpp>
+#include <weights/send_window.hpp>
 
 #include <gtest/gtest.h>
 
