--- a/libs/gateway/src/version_fetch.hpp
+++ b/libs/gateway/src/version_fetch.hpp
@@ -62,7 +62,7 @@
     bool is_held(ready_chunk const& next);
     std::shared_ptr<agent_context> context;
     std::deque<ready_chunk> ready;
-    weights::receive_line line;
+    weights::receive_window line;
     // Fetches whose chunk is not asked for elsewhere, by number.
     std::map<std::uint64_t, ready_chunk> fetches;
     boost::asio::steady_timer timer;
--- a/libs/weights/include/weights/receive_line.hpp
+++ b/libs/weights/include/weights/receive_line.hpp
@@ -27,7 +27,7 @@
 // was squeezed to a twentieth, the fast chunks of the two seconds before let
 // ten more fill it for seven seconds, and requests behind them reached the
 // engine after their callers had left.
-struct receive_line
+struct receive_window
 {
     struct fetch
     {
@@ -46,21 +46,21 @@
 };
 
 // Whether one more chunk may be fetched.
-bool may_fetch(receive_line const& line, base::time_point now);
+bool may_fetch(receive_window const& line, base::time_point now);
 
 // Begins a fetch from this agent; the number names it.
 std::uint64_t
-begin_fetch(receive_line& line, std::string const& agent, base::time_point now);
+begin_fetch(receive_window& line, std::string const& agent, base::time_point now);
 
 // Ends the fetch. When it was slow and nothing comes fast from others, the own
 // link is squeezed: as much time passes before the next one, so that requests
 // to the engine have half of the link.
-void end_fetch(receive_line& line, std::uint64_t number, base::time_point now);
+void end_fetch(receive_window& line, std::uint64_t number, base::time_point now);
 
 // Fetches that take long while chunks come fast from others: the source's link
 // is squeezed, and the same chunk comes sooner from elsewhere.
 std::vector<std::uint64_t>
-squeezed_fetches(receive_line const& line, base::time_point now);
+squeezed_fetches(receive_window const& line, base::time_point now);
 
 } // namespace foxtailvale::weights
 
--- a/libs/weights/src/receive_line.cpp
+++ b/libs/weights/src/receive_line.cpp
@@ -23,7 +23,7 @@
 constexpr milliseconds fast_memory{2000};
 
 bool others_are_fast(
-    receive_line const& line, std::string const& agent, base::time_point now)
+    receive_window const& line, std::string const& agent, base::time_point now)
 {
     return std::ranges::any_of(
         line.last_fast,
@@ -35,7 +35,7 @@
 
 // A chunk came fast from another since the fetch was begun.
 bool others_were_fast(
-    receive_line const& line, receive_line::fetch const& fetch)
+    receive_window const& line, receive_window::fetch const& fetch)
 {
     return std::ranges::any_of(
         line.last_fast,
@@ -45,14 +45,14 @@
         });
 }
 
-bool is_slow(receive_line::fetch const& fetch, base::time_point now)
+bool is_slow(receive_window::fetch const& fetch, base::time_point now)
 {
     return now - fetch.begun > slow_chunk;
 }
 
 } // namespace
 
-bool may_fetch(receive_line const& line, base::time_point now)
+bool may_fetch(receive_window const& line, base::time_point now)
 {
     if (now < line.not_before || line.running.size() >= most_running)
     {
@@ -80,14 +80,14 @@
 }
 
 std::uint64_t
-begin_fetch(receive_line& line, std::string const& agent, base::time_point now)
+begin_fetch(receive_window& line, std::string const& agent, base::time_point now)
 {
     auto const number = ++line.next_number;
     line.running[number] = {agent, now};
     return number;
 }
 
-void end_fetch(receive_line& line, std::uint64_t number, base::time_point now)
+void end_fetch(receive_window& line, std::uint64_t number, base::time_point now)
 {
     auto const found = line.running.find(number);
     if (found == line.running.end())
@@ -110,7 +110,7 @@
 }
 
 std::vector<std::uint64_t>
-squeezed_fetches(receive_line const& line, base::time_point now)
+squeezed_fetches(receive_window const& line, base::time_point now)
 {
     std::vector<std::uint64_t> found;
     for (auto const& [number, fetch] : line.running)
--- a/libs/weights/tests/burst_world.cpp
+++ b/libs/weights/tests/burst_world.cpp
@@ -66,7 +66,7 @@
     bool begun = false;
     chunk_transfer transfer;
     source_table book;
-    receive_line receiving;
+    receive_window receiving;
     send_window line;
     std::list<question> questions;
     std::vector<check_question> checks;
--- a/libs/weights/tests/line_tests.cpp
+++ b/libs/weights/tests/line_tests.cpp
@@ -40,7 +40,7 @@
 
 link_outcome fetch_all(link_course const& course, std::size_t chunks)
 {
-    receive_line line;
+    receive_window line;
     link_outcome outcome;
     std::map<std::uint64_t, base::time_point> arrivals;
     auto free_at = start;
@@ -83,7 +83,7 @@
 
 // Guards against requests that reach the engine after their callers have left,
 // behind several chunks on a link that was squeezed.
-TEST(receive_line, few_chunks_are_on_their_way_over_a_squeezed_link)
+TEST(receive_window, few_chunks_are_on_their_way_over_a_squeezed_link)
 {
     auto const squeezed = milliseconds(690);
     for (auto const from : {milliseconds(0), milliseconds(700)})
@@ -94,7 +94,7 @@
     }
 }
 
-TEST(receive_line, a_sound_link_is_kept_full)
+TEST(receive_window, a_sound_link_is_kept_full)
 {
     auto const whole = fetch_all({}, 64).whole;
     EXPECT_LE(whole, milliseconds(64 * 34 + 100));
@@ -103,9 +103,9 @@
 // One machine in five has a squeezed link. The places for chunks on their way
 // here are all taken by chunks from such machines, and nothing comes for
 // seconds although the other machines would send at once.
-TEST(receive_line, squeezed_sources_do_not_take_all_places)
+TEST(receive_window, squeezed_sources_do_not_take_all_places)
 {
-    receive_line line;
+    receive_window line;
     auto now = start;
     auto const fast = begin_fetch(line, "sound", now);
     now += milliseconds(100);
@@ -123,9 +123,9 @@
 
 // The agent's own link is squeezed: everything is slow. Callers' requests to
 // the engine need the link too.
-TEST(receive_line, a_squeezed_link_of_its_own_is_left_to_requests_by_half)
+TEST(receive_window, a_squeezed_link_of_its_own_is_left_to_requests_by_half)
 {
-    receive_line line;
+    receive_window line;
     auto now = start;
     auto const first = begin_fetch(line, "one", now);
     begin_fetch(line, "two", now);
