--- a/libs/gateway/src/version_fetch.hpp
+++ b/libs/gateway/src/version_fetch.hpp
@@ -3,7 +3,7 @@
 
 #include "agent_context.hpp"
 
-#include <weights/receive_line.hpp>
+#include <weights/receive_window.hpp>
 
 #include <boost/asio/steady_timer.hpp>
 
--- a/libs/weights/src/receive_line.cpp
+++ b/libs/weights/src/receive_line.cpp
@@ -1,4 +1,4 @@
-#include <weights/receive_line.hpp>
+#include <weights/receive_window.hpp>
 
 #include <algorithm>
 
--- a/libs/weights/tests/burst_world.hpp
+++ b/libs/weights/tests/burst_world.hpp
@@ -2,7 +2,7 @@
 #define FOXTAILVALE_WEIGHTS_BURST_WORLD_HPP
 
 #include <weights/chunk_transfer.hpp>
-#include <weights/receive_line.hpp>
+#include <weights/receive_window.hpp>
 #include <weights/send_window.hpp>
 
 #include <deque>
--- a/libs/weights/tests/line_tests.cpp
+++ b/libs/weights/tests/line_tests.cpp
@@ -1,4 +1,4 @@
-#include <weights/receive_line.hpp>
+#include <weights/receive_window.hpp>
 #include <weights/send_window.hpp>
 
 #include <gtest/gtest.h>
