--- a/libs/agent_core/src/chunk_requests.cpp
+++ b/libs/agent_core/src/chunk_requests.cpp
@@ -93,7 +93,7 @@
     actions& out)
 {
     auto const& version = state.weights.store.versions.at(transfer.digest);
-    weights::import_turn turn;
+    weights::import_slot turn;
     turn.started = transfer.described;
     turn.in_turn = state.weights.how == distribution::forest;
     turn.index = index;
@@ -101,11 +101,11 @@
     turn.missing_before = missing_before;
     turn.transfers = static_cast<std::uint32_t>(state.weights.transfers.size());
     turn.last_chunk = transfer.last_chunk;
-    if (!weights::may_draw(state.weights.origin, turn, now))
+    if (!weights::may_fetch_from_origin(state.weights.origin, turn, now))
     {
         return;
     }
-    weights::note_draw(state.weights.origin);
+    weights::note_origin_fetch_started(state.weights.origin);
     transfer.pending[index] = {"", now, std::nullopt};
     out.push_back(fetch_chunk{transfer.digest, index});
 }
@@ -129,7 +129,7 @@
     {
         pending.held_since = now;
     }
-    weights::note_asked(state.weights.book, source.agent, now);
+    weights::note_requested(state.weights.book, source.agent, now);
     connect_source(state, source, out);
     core::send_message message{source.agent, {}};
     auto* const request = message.envelope.mutable_chunk_request();
--- a/libs/agent_core/src/manifest_flow.cpp
+++ b/libs/agent_core/src/manifest_flow.cpp
@@ -62,7 +62,7 @@
         now >= state.weights.origin.not_before)
     {
         transfer.manifest_drawn = true;
-        weights::note_draw(state.weights.origin);
+        weights::note_origin_fetch_started(state.weights.origin);
         out.push_back(fetch_manifest{transfer.digest});
     }
 }
@@ -237,9 +237,9 @@
             ? base::result<void>(
                   base::fail(reply.failure->kind, reply.failure->detail))
             : accept_manifest(state, reply.digest, reply.text, now, out);
-    weights::note_draw_ended(
+    weights::note_origin_fetch_ended(
         state.weights.origin,
-        kept ? weights::draw_outcome::good
+        kept ? weights::origin_fetch_outcome::good
              : outcome_of(std::optional<base::error>(kept.error())),
         state.random, now);
     if (!kept)
--- a/libs/agent_core/src/transfer_flow.cpp
+++ b/libs/agent_core/src/transfer_flow.cpp
@@ -65,7 +65,7 @@
     transfer.last_chunk = now;
     weights::on_chunk_held(state.weights.uploads, digest, index);
     send_uploads(state, now, out);
-    if (weights::is_whole(state.weights.store, digest))
+    if (weights::is_complete(state.weights.store, digest))
     {
         finish_transfer(state, digest, now, out);
     }
@@ -145,7 +145,7 @@
         auto const late =
             pending.held_since &&
             now - *pending.held_since >
-                weights::delivery_limit(
+                weights::delivery_timeout(
                     state.weights.book, pending.agent, chunk_bytes);
         if (silent || late || failed.contains(pending.agent))
         {
@@ -166,11 +166,11 @@
     {
         if (silent_agents.contains(agent))
         {
-            weights::note_silence(state.weights.book, agent, now);
+            weights::note_unresponsive(state.weights.book, agent, now);
         }
         else
         {
-            weights::strike(state.weights.book, agent, now);
+            weights::avoid_after_failure(state.weights.book, agent, now);
         }
     }
 }
@@ -285,7 +285,7 @@
     }
     for (auto const& model : part->models)
     {
-        if (!weights::is_whole(state.weights.store, model.digest) &&
+        if (!weights::is_complete(state.weights.store, model.digest) &&
             !state.weights.transfers.contains(model.digest))
         {
             start_transfer(state, model.digest, now, out);
@@ -371,9 +371,9 @@
 void on_origin_chunk(
     state& state, origin_chunk const& reply, base::time_point now, actions& out)
 {
-    auto const end_draw = [&](weights::draw_outcome outcome)
+    auto const end_draw = [&](weights::origin_fetch_outcome outcome)
     {
-        weights::note_draw_ended(
+        weights::note_origin_fetch_ended(
             state.weights.origin, outcome, state.random, now);
     };
     auto const found = state.weights.transfers.find(reply.digest);
@@ -399,7 +399,7 @@
     // Wrong bytes are a failed draw: the next waits, so that a passing fault
     // does not use up the origin's link.
     end_draw(
-        kept ? weights::draw_outcome::good : weights::draw_outcome::failed);
+        kept ? weights::origin_fetch_outcome::good : weights::origin_fetch_outcome::failed);
     if (kept)
     {
         return;
@@ -462,7 +462,7 @@
     drop_pending(state, found->second, request.index());
     if (weights::note_unreachable(state.weights.book, failed.peer, now))
     {
-        weights::strike(state.weights.book, failed.peer, now);
+        weights::avoid_after_failure(state.weights.book, failed.peer, now);
     }
 }
 
--- a/libs/control/include/control/membership.hpp
+++ b/libs/control/include/control/membership.hpp
@@ -66,7 +66,7 @@
     base::time_point absent_since;
     // Whether its silence says anything: it sends its heartbeats here. What
     // others report of a member is believed without a time limit.
-    bool first_hand = true;
+    bool heard_directly = true;
     // Silence for longer than this is suspected.
     std::chrono::milliseconds patience = silence_limit;
 };
@@ -96,7 +96,7 @@
     std::uint64_t version);
 
 // The list as it is applied, whole, for a peer that has another version.
-list_change whole_list(membership const& state);
+list_change full_list(membership const& state);
 
 // Takes over a change: adds, updates, removes. False when it is not newer or
 // does not fit the list that is applied. Liveness that was heard at first hand
@@ -126,15 +126,15 @@
 // day are: moving a replica costs a VM's link a copy of the weights, and moving
 // it back another. What is lost by waiting is a replica for this long, which
 // the others bear; and a planner that has just started has heard nobody yet.
-inline constexpr std::chrono::milliseconds move_patience{30'000};
+inline constexpr std::chrono::milliseconds replica_move_delay{30'000};
 
 // Whether a plan may give the endpoint something to hold. One that leaves
 // loses its replicas at once, a new one gets some when it is heard.
-bool may_hold(member const& known, bool held_before, base::time_point now);
+bool may_hold_replicas(member const& known, bool held_before, base::time_point now);
 
 // Suspects all that have been silent too long; returns the newly suspected.
 std::vector<std::string>
-suspect_silent(membership& state, base::time_point now);
+suspect_unresponsive(membership& state, base::time_point now);
 
 } // namespace foxtailvale::control
 
--- a/libs/control/src/membership.cpp
+++ b/libs/control/src/membership.cpp
@@ -96,7 +96,7 @@
     return change;
 }
 
-list_change whole_list(membership const& state)
+list_change full_list(membership const& state)
 {
     list_change change;
     change.version = state.list_version;
@@ -176,7 +176,7 @@
     known.state = known.vm.leaving ? liveness::leaving : reported;
 }
 
-bool may_hold(member const& known, bool held_before, base::time_point now)
+bool may_hold_replicas(member const& known, bool held_before, base::time_point now)
 {
     switch (known.state)
     {
@@ -188,16 +188,16 @@
     case liveness::suspected:
         break;
     }
-    return held_before && now - known.absent_since < move_patience;
+    return held_before && now - known.absent_since < replica_move_delay;
 }
 
-std::vector<std::string> suspect_silent(membership& state, base::time_point now)
+std::vector<std::string> suspect_unresponsive(membership& state, base::time_point now)
 {
     std::vector<std::string> suspects;
     for (auto& [name, known] : state.members)
     {
         auto const silent =
-            known.first_hand && now - known.heard > known.patience;
+            known.heard_directly && now - known.heard > known.patience;
         if (known.state == liveness::alive && silent)
         {
             known.state = liveness::suspected;
--- a/libs/direct/tests/played_agents.cpp
+++ b/libs/direct/tests/played_agents.cpp
@@ -52,9 +52,9 @@
     {
         return start + found->second.to;
     }
-    auto at = state.now + weights::chunk_time * static_cast<int>(missing);
+    auto at = state.now + weights::chunk_interval * static_cast<int>(missing);
     auto const named = std::ranges::find(
-        own.targets, version, &weights::named_target::version);
+        own.targets, version, &weights::announced_target::version);
     if (own.arrival)
     {
         at = std::max(at, named->named + *own.arrival);
@@ -62,10 +62,10 @@
     return at;
 }
 
-weights::switch_ask switch_ask_of(world const& state, std::size_t number)
+weights::switch_context switch_ask_of(world const& state, std::size_t number)
 {
     auto const& own = state.agents[number];
-    weights::switch_ask ask;
+    weights::switch_context ask;
     ask.serving = own.seen.weights.version;
     ask.targets = own.targets;
     ask.bound = version_bound;
@@ -87,7 +87,7 @@
 std::uint64_t next_version(world const& state, std::size_t number)
 {
     auto const ask = switch_ask_of(state, number);
-    return weights::fall_back(
+    return weights::choose_fallback_target(
         ask, weights::choose_target(ask),
         [&](std::uint64_t version)
         {
@@ -105,7 +105,7 @@
     {
         return std::nullopt;
     }
-    auto const at = weights::switch_turn(ask, target);
+    auto const at = weights::planned_switch_time(ask, target);
     return at - state.now <= switch_notice ? std::optional(at) : std::nullopt;
 }
 
@@ -214,7 +214,7 @@
     if (own.switching || own.busy || own.verifying || own.ordering ||
         own.seen.weights.version >= target || state.now < own.order_again ||
         missing_chunks(state, number, target) > 0 ||
-        state.now < weights::switch_turn(switch_ask_of(state, number), target))
+        state.now < weights::planned_switch_time(switch_ask_of(state, number), target))
     {
         return;
     }
@@ -233,7 +233,7 @@
     for (auto const& [version, time] : own.chunks)
     {
         auto const named = std::ranges::find(
-            own.targets, version, &weights::named_target::version);
+            own.targets, version, &weights::announced_target::version);
         if (state.now >= start + time.to)
         {
             own.arrival = rounded(start + time.to - named->named);
--- a/libs/entry_core/src/membership_flow.cpp
+++ b/libs/entry_core/src/membership_flow.cpp
@@ -112,10 +112,10 @@
         {
             listened.insert(name);
         }
-        if (is_listener != known.first_hand ||
+        if (is_listener != known.heard_directly ||
             (is_listener && !gossip.listened.contains(name)))
         {
-            known.first_hand = is_listener;
+            known.heard_directly = is_listener;
             known.heard = now;
             known.patience = control::silence_limit;
         }
@@ -132,7 +132,7 @@
 void choose_far(state& state)
 {
     auto& gossip = state.control.gossip;
-    auto const chosen = control::far_endpoints(
+    auto const chosen = control::remote_endpoints(
         state.control.members, state.control.plans, state.self.failure_domain,
         state.self.name);
     gossip.far = {chosen.begin(), chosen.end()};
@@ -289,7 +289,7 @@
 
 void push_whole_list(state const& state, std::string const& peer, actions& out)
 {
-    send_change(control::whole_list(state.control.members), peer, out);
+    send_change(control::full_list(state.control.members), peer, out);
 }
 
 void on_leaving(
@@ -324,7 +324,7 @@
         return;
     }
     gossip.last_check = now;
-    for (auto const& name : control::suspect_silent(state.control.members, now))
+    for (auto const& name : control::suspect_unresponsive(state.control.members, now))
     {
         out.push_back(core::write_log{
             kernel::event_id::peer_suspected, {{"peer", name}}});
--- a/libs/gateway/src/agent_context.cpp
+++ b/libs/gateway/src/agent_context.cpp
@@ -27,7 +27,7 @@
 bool note_named(
     agent_context& state,
     std::string const& model,
-    weights::named_target const& target)
+    weights::announced_target const& target)
 {
     auto& known = state.named[model];
     if (!known.empty() && known.back().version >= target.version)
@@ -38,9 +38,9 @@
     return true;
 }
 
-std::vector<weights::named_target> const& targets_of(agent_context const& state)
+std::vector<weights::announced_target> const& targets_of(agent_context const& state)
 {
-    static std::vector<weights::named_target> const none;
+    static std::vector<weights::announced_target> const none;
     auto const found = state.named.find(state.model);
     return found == state.named.end() ? none : found->second;
 }
@@ -76,7 +76,7 @@
     {
         return std::nullopt;
     }
-    auto const at = weights::switch_turn(ask, target);
+    auto const at = weights::planned_switch_time(ask, target);
     return at - now <= notice ? std::optional(at) : std::nullopt;
 }
 
@@ -100,7 +100,7 @@
     return {};
 }
 
-weights::draw_schedule
+weights::origin_fetch_schedule
 draws_of(agent_context const& state, std::uint64_t version)
 {
     // Until a manifest says otherwise.
@@ -115,12 +115,12 @@
     // Agents learn of a version at different times; it was named at one.
     auto const& targets = targets_of(state);
     auto const named =
-        std::ranges::find(targets, version, &weights::named_target::version);
+        std::ranges::find(targets, version, &weights::announced_target::version);
     if (named != targets.end())
     {
         start = named->named;
     }
-    return weights::plan_draws(state.fleet, state.origin_bounds, bytes, start);
+    return weights::plan_origin_fetches(state.fleet, state.origin_bounds, bytes, start);
 }
 
 std::uint64_t next_version(agent_context const& state, base::time_point now)
@@ -137,7 +137,7 @@
         auto const& transfer = found->second.transfer;
         return transfer.digests.size() - transfer.held;
     };
-    return weights::fall_back(ask, weights::choose_target(ask), to_come, now);
+    return weights::choose_fallback_target(ask, weights::choose_target(ask), to_come, now);
 }
 
 void note_whole(agent_context& state, base::time_point now)
@@ -147,13 +147,13 @@
     auto const& targets = targets_of(state);
     for (auto& [version, held] : state.versions)
     {
-        if (held.whole || !weights::is_whole(held.transfer))
+        if (held.whole || !weights::is_complete(held.transfer))
         {
             continue;
         }
         held.whole = now;
         auto const named = std::ranges::find(
-            targets, version, &weights::named_target::version);
+            targets, version, &weights::announced_target::version);
         if (named != targets.end() && held.wanted &&
             *held.wanted - named->named < soon)
         {
@@ -182,10 +182,10 @@
         return held.whole;
     }
     auto const missing = held.transfer.digests.size() - held.transfer.held;
-    auto at = now + weights::chunk_time * static_cast<int>(missing);
+    auto at = now + weights::chunk_interval * static_cast<int>(missing);
     auto const& targets = targets_of(state);
     auto const named =
-        std::ranges::find(targets, version, &weights::named_target::version);
+        std::ranges::find(targets, version, &weights::announced_target::version);
     if (named != targets.end() && state.arrival)
     {
         at = std::max(at, named->named + *state.arrival);
@@ -195,10 +195,10 @@
 
 } // namespace
 
-weights::switch_ask
+weights::switch_context
 switch_ask_of(agent_context const& state, base::time_point now)
 {
-    weights::switch_ask ask;
+    weights::switch_context ask;
     ask.serving = serving_version(state);
     ask.targets = targets_of(state);
     ask.bound = state.settings.promised.version;
--- a/libs/gateway/src/agent_context.hpp
+++ b/libs/gateway/src/agent_context.hpp
@@ -53,7 +53,7 @@
     // The model that the engine's service serves; empty while unknown.
     std::string model;
     // Versions that were named, oldest first, by model.
-    std::map<std::string, std::vector<weights::named_target>> named;
+    std::map<std::string, std::vector<weights::announced_target>> named;
     // "IP:PORT" of the origin, empty while unknown.
     std::string origin;
     weights::origin_limits origin_bounds;
@@ -75,7 +75,7 @@
 
     // By version.
     std::map<std::uint64_t, held_version> versions;
-    weights::source_book sources;
+    weights::source_table sources;
     // Time from the naming of a version until it was whole here, as last seen.
     std::optional<std::chrono::milliseconds> arrival;
 
@@ -102,10 +102,10 @@
 bool note_named(
     agent_context& state,
     std::string const& model,
-    weights::named_target const& target);
+    weights::announced_target const& target);
 
 // Named versions of the engine's model, oldest first.
-std::vector<weights::named_target> const&
+std::vector<weights::announced_target> const&
 targets_of(agent_context const& state);
 
 // The newest named version; the first when none was named.
@@ -126,7 +126,7 @@
 holders_of(agent_context const& state, std::uint64_t version);
 
 // Who draws the version's chunks from the origin, and when.
-weights::draw_schedule
+weights::origin_fetch_schedule
 draws_of(agent_context const& state, std::uint64_t version);
 
 // The version that the engine goes to next, as things stand here.
@@ -136,7 +136,7 @@
 void note_whole(agent_context& state, base::time_point now);
 
 // What the decisions on switching go by.
-weights::switch_ask
+weights::switch_context
 switch_ask_of(agent_context const& state, base::time_point now);
 
 } // namespace foxtailvale::gateway
--- a/libs/gateway/src/switch_sight.cpp
+++ b/libs/gateway/src/switch_sight.cpp
@@ -23,13 +23,13 @@
 } // namespace
 
 std::optional<switch_plan> plan_of(
-    weights::switch_ask const& ask,
+    weights::switch_context const& ask,
     std::uint64_t target,
     std::optional<std::size_t> missing)
 {
     auto const first = std::ranges::find_if(
         ask.targets,
-        [&ask](weights::named_target const& named)
+        [&ask](weights::announced_target const& named)
         {
             return named.version > ask.serving;
         });
@@ -42,7 +42,7 @@
     made.target = target;
     made.first = first->version;
     made.named = first->named;
-    made.turn = weights::switch_turn(ask, target);
+    made.turn = weights::planned_switch_time(ask, target);
     made.bound = ask.bound;
     made.missing = missing;
     return made;
--- a/libs/gateway/src/version_fetch.cpp
+++ b/libs/gateway/src/version_fetch.cpp
@@ -66,7 +66,7 @@
         this->fetch_manifest(version);
         return;
     }
-    if (chunks && !weights::is_whole(held.transfer))
+    if (chunks && !weights::is_complete(held.transfer))
     {
         this->ask_for_chunks(version);
     }
@@ -87,23 +87,23 @@
     {
         return std::nullopt;
     }
-    auto const may_draw =
-        weights::may_ask_for_manifest(schedule, own, begun, clock::now());
+    auto const may_fetch_from_origin =
+        weights::may_request_manifest(schedule, own, begun, clock::now());
     auto const found = state.fleet.find(state.settings.failure_domain);
     // The origin and the others take turns where it may be asked at all.
     if (found == state.fleet.end() || schedule.order.size() < 2 ||
-        (may_draw && held.manifest_tries % 2 == 0))
+        (may_fetch_from_origin && held.manifest_tries % 2 == 0))
     {
         return std::string();
     }
-    // The first of the own failure domain has it first, then the other drawers
+    // The first of the own failure domain has it first, then the other fetchers
     // there, who ask the first; when they are gone, somebody else has it.
     auto const& agents = found->second.endpoints;
     auto const rank = static_cast<std::size_t>(
         std::ranges::find(agents, own, &control::plan_endpoint::agent) -
         agents.begin());
     auto const near = std::clamp<std::size_t>(
-        schedule.drawers / schedule.domains, 1, agents.size());
+        schedule.fetchers / schedule.domains, 1, agents.size());
     auto const among = held.manifest_tries < peer_tries ? near : agents.size();
     auto const first = rank < near ? 0 : rank;
     auto const& chosen = agents[(first + held.manifest_tries) % among];
@@ -244,17 +244,17 @@
     this->fetch_ready();
     this->tell_waiting(version);
     auto const label = state.model + "@" + std::to_string(version);
-    weights::transfer_place const place{
+    weights::transfer_requester const place{
         state.settings.failure_domain, state.settings.ip, label,
         holders_of(state, version)};
-    auto const asks = weights::next_asks(
+    auto const asks = weights::next_chunk_requests(
         held.transfer, state.sources, labelled(state, label), place,
         draws_of(state, version), weights::transfer_limits{}, clock::now());
     for (auto const& wanted : asks)
     {
         this->ask(version, wanted);
     }
-    auto const checks = weights::next_checks(
+    auto const checks = weights::next_liveness_checks(
         held.transfer, labelled(state, label), place, draws_of(state, version),
         clock::now());
     for (auto const& drawer : checks)
@@ -269,7 +269,7 @@
     auto& state = *this->context;
     fetch(
         state.loop, state.pool, drawer.address,
-        peer_check_request(state.model, version), weights::check_limit,
+        peer_check_request(state.model, version), weights::liveness_check_timeout,
         [self = this->shared_from_this(), version,
          drawer](std::optional<fetched> response)
         {
@@ -282,12 +282,12 @@
                      {"drawer", drawer.agent},
                      {"status", response ? response->status : 0}});
             }
-            weights::note_check(
+            weights::note_liveness_check(
                 self->context->versions[version].transfer, drawer.agent, lives);
         });
 }
 
-void version_fetch::ask(std::uint64_t version, weights::chunk_ask const& wanted)
+void version_fetch::ask(std::uint64_t version, weights::wanted_chunk const& wanted)
 {
     auto& state = *this->context;
     ready_chunk const asked{version, wanted};
@@ -331,7 +331,7 @@
         }
         auto const slow = found->second;
         this->fetches.erase(found);
-        weights::strike(this->context->sources, slow.wanted.source.agent, now);
+        weights::avoid_after_failure(this->context->sources, slow.wanted.source.agent, now);
         weights::withdraw(
             this->context->versions[slow.version].transfer,
             this->context->sources, slow.wanted.index);
@@ -391,7 +391,7 @@
                     : peer_chunk_request(state.model, next.version, index);
     auto const number = from_origin ? 0 : this->begin(next);
     auto const limit = from_origin
-                           ? weights::draw_limit(
+                           ? weights::origin_fetch_timeout(
                                  draws_of(state, next.version),
                                  weights::failures_of(state.sources, {}))
                            : chunk_limit;
@@ -456,7 +456,7 @@
 {
     auto& state = *this->context;
     auto& held = state.versions[version];
-    auto const was_whole = weights::is_whole(held.transfer);
+    auto const was_whole = weights::is_complete(held.transfer);
     auto const good = weights::deliver(
         held.transfer, state.sources, index, std::move(bytes), clock::now());
     if (!good)
@@ -469,7 +469,7 @@
     {
         held.last_news = clock::now();
     }
-    if (good && !was_whole && weights::is_whole(held.transfer))
+    if (good && !was_whole && weights::is_complete(held.transfer))
     {
         kernel::log_event(
             kernel::event_id::transfer_finished, {{"version", version}});
--- a/libs/gateway/src/version_fetch.hpp
+++ b/libs/gateway/src/version_fetch.hpp
@@ -3,7 +3,7 @@
 
 #include "agent_context.hpp"
 
-#include <weights/receive_line.hpp>
+#include <weights/receive_window.hpp>
 
 #include <boost/asio/steady_timer.hpp>
 
@@ -42,10 +42,10 @@
     struct ready_chunk
     {
         std::uint64_t version = 0;
-        weights::chunk_ask wanted;
+        weights::wanted_chunk wanted;
     };
 
-    void ask(std::uint64_t version, weights::chunk_ask const& wanted);
+    void ask(std::uint64_t version, weights::wanted_chunk const& wanted);
     // Asks an agent that draws from the origin whether it lives.
     void check(std::uint64_t version, weights::chunk_source const& drawer);
     void fetch_ready();
@@ -62,7 +62,7 @@
     bool is_held(ready_chunk const& next);
     std::shared_ptr<agent_context> context;
     std::deque<ready_chunk> ready;
-    weights::receive_line line;
+    weights::receive_window line;
     // Fetches whose chunk is not asked for elsewhere, by number.
     std::map<std::uint64_t, ready_chunk> fetches;
     boost::asio::steady_timer timer;
--- a/libs/gateway/src/weights_door.hpp
+++ b/libs/gateway/src/weights_door.hpp
@@ -4,7 +4,7 @@
 #include "agent_context.hpp"
 
 #include <net/http_server.hpp>
-#include <weights/send_line.hpp>
+#include <weights/send_window.hpp>
 
 #include <list>
 
@@ -106,7 +106,7 @@
     std::shared_ptr<net::http_server> server;
     std::list<asked_part> waiting;
     std::list<running_send> sends;
-    weights::send_line line;
+    weights::send_window line;
     // No chunk is sent before then.
     base::time_point next_send;
     boost::asio::steady_timer timer;
--- a/libs/gateway/tests/switch_sight_tests.cpp
+++ b/libs/gateway/tests/switch_sight_tests.cpp
@@ -17,10 +17,10 @@
 base::time_point const start{std::chrono::hours(1)};
 constexpr milliseconds bound{8000};
 
-weights::switch_ask
-ask_of(std::uint64_t serving, std::vector<weights::named_target> const& targets)
+weights::switch_context
+ask_of(std::uint64_t serving, std::vector<weights::announced_target> const& targets)
 {
-    weights::switch_ask ask;
+    weights::switch_context ask;
     ask.serving = serving;
     ask.targets = targets;
     ask.bound = bound;
@@ -43,13 +43,13 @@
 
 TEST(plan_of, counts_from_the_version_whose_bound_ends_the_one_in_use)
 {
-    std::vector<weights::named_target> const named{
+    std::vector<weights::announced_target> const named{
         {2, start}, {3, start + seconds(1)}};
     auto const ask = ask_of(1, named);
     auto const plan = plan_of(ask, 3, 12);
     ASSERT_TRUE(plan);
     EXPECT_EQ(plan->first, 2U);
-    EXPECT_EQ(plan->turn, weights::switch_turn(ask, 3));
+    EXPECT_EQ(plan->turn, weights::planned_switch_time(ask, 3));
     auto const fields = fields_of(*plan);
     EXPECT_EQ(fields["version"], 3);
     EXPECT_EQ(fields["from_version"], 1);
@@ -64,7 +64,7 @@
 
 TEST(plan_of, is_nothing_for_an_engine_without_weights_or_on_the_newest)
 {
-    std::vector<weights::named_target> const named{{2, start}};
+    std::vector<weights::announced_target> const named{{2, start}};
     EXPECT_FALSE(plan_of(ask_of(0, named), 2, 0));
     EXPECT_FALSE(plan_of(ask_of(2, named), 2, 0));
     auto const plan = plan_of(ask_of(1, named), 2, std::nullopt);
--- a/libs/weights/include/weights/chunk_transfer.hpp
+++ b/libs/weights/include/weights/chunk_transfer.hpp
@@ -4,7 +4,7 @@
 #include <weights/chunk_store.hpp>
 #include <weights/forest.hpp>
 #include <weights/origin_schedule.hpp>
-#include <weights/source_book.hpp>
+#include <weights/source_table.hpp>
 
 #include <cstdint>
 #include <map>
@@ -68,7 +68,7 @@
 };
 
 // Who asks.
-struct transfer_place
+struct transfer_requester
 {
     std::string failure_domain;
     std::string agent;
@@ -92,11 +92,11 @@
     std::size_t total = 24;
     std::size_t per_agent = 8;
     // Draws from the origin: one hides no other's round trip of a few
-    // milliseconds, and the drawers fill its link together.
+    // milliseconds, and the fetchers fill its link together.
     std::size_t origin = 1;
 };
 
-struct chunk_ask
+struct wanted_chunk
 {
     std::uint32_t index = 0;
     // The origin when its agent is empty.
@@ -114,12 +114,12 @@
     base::time_point now);
 void reuse(chunk_transfer& state, chunk_transfer const& other);
 
-bool is_whole(chunk_transfer const& state);
+bool is_complete(chunk_transfer const& state);
 
 // What this agent holds and draws, in the form of `holdings`.
 std::string holdings_of(
     chunk_transfer const& state,
-    draw_schedule const& schedule,
+    origin_fetch_schedule const& schedule,
     std::string const& agent,
     bool origin_fails);
 
@@ -135,28 +135,28 @@
 
 // Drawers to be asked now whether they live, each noted as asked. Those who
 // stand in ask a moment after a chunk's slot when it has not come. Failure: two
-// drawers ended within a second of a naming, who stood in found out after a
+// fetchers ended within a second of a naming, who stood in found out after a
 // second and more for each chunk, and the origin died before.
-std::vector<chunk_source> next_checks(
+std::vector<chunk_source> next_liveness_checks(
     chunk_transfer& state,
     plan_set const& plans,
-    transfer_place const& place,
-    draw_schedule const& schedule,
+    transfer_requester const& place,
+    origin_fetch_schedule const& schedule,
     base::time_point now);
 
 // How long a drawer that lives may take for its answer.
-inline constexpr std::chrono::milliseconds check_limit{250};
+inline constexpr std::chrono::milliseconds liveness_check_timeout{250};
 
 // The drawer answered or did not. If not, the next in turn draws its chunks.
-void note_check(chunk_transfer& state, std::string const& drawer, bool lives);
+void note_liveness_check(chunk_transfer& state, std::string const& drawer, bool lives);
 
 // Chunks to ask for now, each noted as pending.
-std::vector<chunk_ask> next_asks(
+std::vector<wanted_chunk> next_chunk_requests(
     chunk_transfer& state,
-    source_book& book,
+    source_table& book,
     plan_set const& plans,
-    transfer_place const& place,
-    draw_schedule const& schedule,
+    transfer_requester const& place,
+    origin_fetch_schedule const& schedule,
     transfer_limits const& limits,
     base::time_point now);
 
@@ -168,13 +168,13 @@
 // match its digest is dropped, its source is avoided and another is asked.
 bool deliver(
     chunk_transfer& state,
-    source_book& book,
+    source_table& book,
     std::uint32_t index,
     std::string bytes,
     base::time_point now);
 
 // Forgets a question for a chunk that has come another way meanwhile.
-void withdraw(chunk_transfer& state, source_book& book, std::uint32_t index);
+void withdraw(chunk_transfer& state, source_table& book, std::uint32_t index);
 
 enum class chunk_loss
 {
@@ -189,7 +189,7 @@
 // A chunk that was asked for will not come from there.
 void lose(
     chunk_transfer& state,
-    source_book& book,
+    source_table& book,
     std::uint32_t index,
     chunk_loss why,
     base::time_point now);
--- a/libs/weights/include/weights/origin_pace.hpp
+++ b/libs/weights/include/weights/origin_pace.hpp
@@ -23,7 +23,7 @@
 };
 
 // How a draw ended.
-enum class draw_outcome
+enum class origin_fetch_outcome
 {
     good,
     // The store is there and allows no more reads now.
@@ -32,7 +32,7 @@
 };
 
 // One chunk whose turn at the origin is asked for.
-struct import_turn
+struct import_slot
 {
     // When the transfer began.
     base::time_point started;
@@ -54,18 +54,18 @@
 // left to weights, and only while few earlier chunks are missing. So the link
 // is asked for no more than its share, whoever imports, and when it yields
 // less the draws slow down with it.
-bool may_draw(
-    origin_pace const& pace, import_turn const& turn, base::time_point now);
+bool may_fetch_from_origin(
+    origin_pace const& pace, import_slot const& turn, base::time_point now);
 
-void note_draw(origin_pace& pace);
+void note_origin_fetch_started(origin_pace& pace);
 
 // The draw ended; after a refusal or failure the agent leaves the origin alone
 // for a time that doubles and is drawn at random, so that an outage does not
 // end in a stampede. After refusals it grows less: the store gives something to
 // somebody all the time, and long pauses would leave that unused.
-void note_draw_ended(
+void note_origin_fetch_ended(
     origin_pace& pace,
-    draw_outcome outcome,
+    origin_fetch_outcome outcome,
     base::random_state& random,
     base::time_point now);
 
--- a/libs/weights/include/weights/switch_time.hpp
+++ b/libs/weights/include/weights/switch_time.hpp
@@ -20,18 +20,18 @@
 {
 
 // A version that operators named, and when that became known.
-struct named_target
+struct announced_target
 {
     std::uint64_t version = 0;
     base::time_point named;
 };
 
-struct switch_ask
+struct switch_context
 {
     // Version that the engine serves; zero when it serves none.
     std::uint64_t serving = 0;
     // Oldest first.
-    std::span<named_target const> targets;
+    std::span<announced_target const> targets;
     // From a version's naming until nothing may begin on an older one.
     std::chrono::milliseconds bound{0};
     // Place among the agents of the failure domain, in order of name.
@@ -51,27 +51,27 @@
 // one is there before that costs more than the switch, and those of the earlier
 // half go there and carry the traffic meanwhile. If the newest comes early
 // enough, all skip.
-std::uint64_t choose_target(switch_ask const& ask);
+std::uint64_t choose_target(switch_context const& ask);
 
 // The version to go to instead of the chosen one, when its chunks will not come
 // before the version in use has ended: the newest of those between that is
 // whole at this agent. Failure: the origin dies just after a second version was
 // named, and engines that skipped the first serve nobody until it is back.
 // `chunks_to_come` counts what is missing of a version here.
-std::uint64_t fall_back(
-    switch_ask const& ask,
+std::uint64_t choose_fallback_target(
+    switch_context const& ask,
     std::uint64_t chosen,
     std::function<std::size_t(std::uint64_t)> const& chunks_to_come,
     base::time_point now);
 
 // How long a missing chunk takes to come during a burst.
-inline constexpr std::chrono::milliseconds chunk_time{45};
+inline constexpr std::chrono::milliseconds chunk_interval{45};
 
 // When the engine switches to the target, if the chunks are there. An engine
 // that serves nothing does so at once. What runs there ends first: whatever is
 // cut to go on elsewhere has its prompt read again, where there is no room to
 // spare.
-base::time_point switch_turn(switch_ask const& ask, std::uint64_t target);
+base::time_point planned_switch_time(switch_context const& ask, std::uint64_t target);
 
 } // namespace foxtailvale::weights
 
--- a/libs/weights/src/chunk_transfer.cpp
+++ b/libs/weights/src/chunk_transfer.cpp
@@ -22,7 +22,7 @@
 constexpr std::chrono::milliseconds waiting_time{700};
 
 // How long it counts that another agent draws a chunk: what one draw takes when
-// all drawers draw at once, three times over.
+// all fetchers draw at once, three times over.
 constexpr std::chrono::milliseconds said_time{1000};
 
 // Draws that an agent announces: the one under way and the next. Those behind
@@ -75,7 +75,7 @@
 // any of them may hold the chunk. The order differs by agent and chunk, so that
 // not all ask the same one.
 std::vector<chunk_source>
-others(plan_set const& plans, transfer_place const& place, std::uint32_t index)
+others(plan_set const& plans, transfer_requester const& place, std::uint32_t index)
 {
     std::vector<chunk_source> found;
     for (auto const& [domain, plan] : plans)
@@ -142,7 +142,7 @@
 // for each chunk and agent.
 std::optional<chunk_source> free_holder(
     chunk_transfer const& state,
-    transfer_place const& place,
+    transfer_requester const& place,
     std::uint32_t index,
     source_view const& view)
 {
@@ -176,10 +176,10 @@
 struct asking
 {
     chunk_transfer& state;
-    source_book& book;
+    source_table& book;
     plan_set const& plans;
-    transfer_place const& place;
-    draw_schedule const& schedule;
+    transfer_requester const& place;
+    origin_fetch_schedule const& schedule;
     transfer_limits const& limits;
     base::time_point now;
 };
@@ -209,7 +209,7 @@
 bool all_gone(asking const& look, std::uint32_t index, std::size_t turn)
 {
     return std::ranges::all_of(
-        earlier_drawers(look.schedule, turn, index),
+        earlier_fetchers(look.schedule, turn, index),
         [&look](std::string const& drawer)
         {
             return is_gone(look.state, drawer, look.now);
@@ -239,7 +239,7 @@
     std::uint32_t index,
     std::size_t turn)
 {
-    for (auto const& drawer : earlier_drawers(look.schedule, turn, index))
+    for (auto const& drawer : earlier_fetchers(look.schedule, turn, index))
     {
         if (is_gone(look.state, drawer, look.now))
         {
@@ -265,8 +265,8 @@
     auto const turn = turn_of(look.schedule, look.place.agent, index);
     auto const stands_alone =
         turn && *turn <= most_checking && all_gone(look, index, *turn);
-    auto const due = stands_alone ? draws_at(look.schedule, 0, index, begun)
-                     : turn       ? draws_at(look.schedule, *turn, index, begun)
+    auto const due = stands_alone ? origin_fetch_time(look.schedule, 0, index, begun)
+                     : turn       ? origin_fetch_time(look.schedule, *turn, index, begun)
                                   : begun + alone_time;
     if (look.now < due || !is_usable(look.book, {}, look.now))
     {
@@ -282,17 +282,17 @@
 void put_later_drawers(
     asking const& look, chunk_sources& sources, std::uint32_t index)
 {
-    auto const drawers =
-        earlier_drawers(look.schedule, look.schedule.drawers, index);
+    auto const fetchers =
+        earlier_fetchers(look.schedule, look.schedule.fetchers, index);
     std::vector<chunk_source> found;
-    for (std::size_t turn = 1; turn < drawers.size(); ++turn)
+    for (std::size_t turn = 1; turn < fetchers.size(); ++turn)
     {
-        auto const due = draws_at(look.schedule, turn, index, look.state.begun);
+        auto const due = origin_fetch_time(look.schedule, turn, index, look.state.begun);
         if (look.now < due)
         {
             break;
         }
-        if (auto const source = source_named(look.plans, drawers[turn]);
+        if (auto const source = source_named(look.plans, fetchers[turn]);
             source && source->agent != look.place.agent)
         {
             found.push_back(*source);
@@ -306,12 +306,12 @@
 // to be asked now.
 std::optional<std::string> drawer_to_check(
     chunk_transfer const& state,
-    draw_schedule const& schedule,
+    origin_fetch_schedule const& schedule,
     std::uint32_t index,
     std::size_t turn,
     base::time_point now)
 {
-    for (auto const& drawer : earlier_drawers(schedule, turn, index))
+    for (auto const& drawer : earlier_fetchers(schedule, turn, index))
     {
         if (is_gone(state, drawer, now))
         {
@@ -330,7 +330,7 @@
 {
     auto sources = sources_of(
         look.plans, look.place.failure_domain, look.place.agent,
-        look.place.label, index, {}, drawer_of(look.schedule, index));
+        look.place.label, index, {}, origin_fetcher_of(look.schedule, index));
     if (sources)
     {
         put_later_drawers(look, *sources, index);
@@ -370,17 +370,17 @@
     return {};
 }
 
-chunk_ask
+wanted_chunk
 ask_of(asking const& look, std::uint32_t index, found_source const& found)
 {
     auto const source = found.source.value_or(chunk_source{});
     look.state.pending[index] = {source, look.now, found.stands_in};
-    note_asked(look.book, source.agent, look.now);
+    note_requested(look.book, source.agent, look.now);
     return {index, source, found.behind};
 }
 
 // Chunks that are neither here nor asked for, those that this agent is the
-// first to draw behind all others. Failure: while the origin was away, drawers
+// first to draw behind all others. Failure: while the origin was away, fetchers
 // asked each other for these, and when it was back, they drew later ones first,
 // which nobody was asking for yet.
 std::vector<std::uint32_t> missing_in_order(asking const& look)
@@ -397,7 +397,7 @@
         found.begin(), found.end(),
         [&look](std::uint32_t index)
         {
-            return drawer_of(look.schedule, index) != look.place.agent;
+            return origin_fetcher_of(look.schedule, index) != look.place.agent;
         });
     return found;
 }
@@ -437,7 +437,7 @@
 
 std::string holdings_of(
     chunk_transfer const& state,
-    draw_schedule const& schedule,
+    origin_fetch_schedule const& schedule,
     std::string const& agent,
     bool origin_fails)
 {
@@ -466,16 +466,16 @@
     state.holdings[agent.agent] = {agent, std::move(marks), now};
 }
 
-bool is_whole(chunk_transfer const& state)
+bool is_complete(chunk_transfer const& state)
 {
     return !state.digests.empty() && state.held == state.digests.size();
 }
 
-std::vector<chunk_source> next_checks(
+std::vector<chunk_source> next_liveness_checks(
     chunk_transfer& state,
     plan_set const& plans,
-    transfer_place const& place,
-    draw_schedule const& schedule,
+    transfer_requester const& place,
+    origin_fetch_schedule const& schedule,
     base::time_point now)
 {
     std::vector<chunk_source> checks;
@@ -484,7 +484,7 @@
         auto const turn = turn_of(schedule, place.agent, index);
         if (state.chunks[index] || !turn || *turn == 0 ||
             *turn > most_checking ||
-            now < draws_at(schedule, 0, index, state.begun) +
+            now < origin_fetch_time(schedule, 0, index, state.begun) +
                       check_time * static_cast<int>(*turn))
         {
             continue;
@@ -501,7 +501,7 @@
     return checks;
 }
 
-void note_check(chunk_transfer& state, std::string const& drawer, bool lives)
+void note_liveness_check(chunk_transfer& state, std::string const& drawer, bool lives)
 {
     auto& check = state.checks[drawer];
     check.is_pending = false;
@@ -513,17 +513,17 @@
     }
 }
 
-std::vector<chunk_ask> next_asks(
+std::vector<wanted_chunk> next_chunk_requests(
     chunk_transfer& state,
-    source_book& book,
+    source_table& book,
     plan_set const& plans,
-    transfer_place const& place,
-    draw_schedule const& schedule,
+    transfer_requester const& place,
+    origin_fetch_schedule const& schedule,
     transfer_limits const& limits,
     base::time_point now)
 {
     asking const look{state, book, plans, place, schedule, limits, now};
-    std::vector<chunk_ask> asks;
+    std::vector<wanted_chunk> asks;
     std::vector<std::pair<std::size_t, std::uint32_t>> draws;
     for (auto const index : missing_in_order(look))
     {
@@ -574,7 +574,7 @@
 
 bool deliver(
     chunk_transfer& state,
-    source_book& book,
+    source_table& book,
     std::uint32_t index,
     std::string bytes,
     base::time_point now)
@@ -589,7 +589,7 @@
     if (!offer(state, index, bytes))
     {
         note_dropped(book, asked.source.agent);
-        hold_off(book, asked.source.agent, now);
+        avoid_briefly(book, asked.source.agent, now);
         return false;
     }
     note_delivered(
@@ -598,7 +598,7 @@
     return true;
 }
 
-void withdraw(chunk_transfer& state, source_book& book, std::uint32_t index)
+void withdraw(chunk_transfer& state, source_table& book, std::uint32_t index)
 {
     auto const found = state.pending.find(index);
     if (found != state.pending.end())
@@ -610,7 +610,7 @@
 
 void lose(
     chunk_transfer& state,
-    source_book& book,
+    source_table& book,
     std::uint32_t index,
     chunk_loss why,
     base::time_point now)
@@ -644,11 +644,11 @@
         // it costs as long again.
         if (!agent.empty() && now - asked > silent_time)
         {
-            strike(book, agent, now);
+            avoid_after_failure(book, agent, now);
         }
         else
         {
-            hold_off(book, agent, now);
+            avoid_briefly(book, agent, now);
         }
         break;
     }
--- a/libs/weights/src/origin_pace.cpp
+++ b/libs/weights/src/origin_pace.cpp
@@ -32,8 +32,8 @@
 
 } // namespace
 
-bool may_draw(
-    origin_pace const& pace, import_turn const& turn, base::time_point now)
+bool may_fetch_from_origin(
+    origin_pace const& pace, import_slot const& turn, base::time_point now)
 {
     if (now < pace.not_before || pace.running >= most_running ||
         (pace.failures_in_a_row > 0 && pace.running > 0))
@@ -60,25 +60,25 @@
     return passed >= turn.index * slot;
 }
 
-void note_draw(origin_pace& pace)
+void note_origin_fetch_started(origin_pace& pace)
 {
     ++pace.running;
 }
 
-void note_draw_ended(
+void note_origin_fetch_ended(
     origin_pace& pace,
-    draw_outcome outcome,
+    origin_fetch_outcome outcome,
     base::random_state& random,
     base::time_point now)
 {
     pace.running -= pace.running > 0 ? 1 : 0;
-    if (outcome == draw_outcome::good)
+    if (outcome == origin_fetch_outcome::good)
     {
         pace.failures_in_a_row = 0;
         return;
     }
     auto const doublings = std::min(
-        pace.failures_in_a_row, outcome == draw_outcome::refused
+        pace.failures_in_a_row, outcome == origin_fetch_outcome::refused
                                     ? most_doublings_refused
                                     : most_doublings);
     ++pace.failures_in_a_row;
--- a/libs/weights/src/origin_schedule.cpp
+++ b/libs/weights/src/origin_schedule.cpp
@@ -16,7 +16,7 @@
 // Where the origin does not say how many connections it accepts.
 constexpr std::uint32_t unsaid_connections = 32;
 
-// Between the turns of a chunk's drawers. A chunk is with its drawer a tenth
+// Between the turns of a chunk's fetchers. A chunk is with its drawer a tenth
 // of a second after its slot; the rest covers a drawer that learns of the
 // version half a second late.
 constexpr milliseconds turn_time{1000};
@@ -33,7 +33,7 @@
 constexpr milliseconds longest_limit{4000};
 constexpr std::uint32_t most_doublings = 3;
 
-std::size_t place_of(draw_schedule const& schedule, std::string const& agent)
+std::size_t place_of(origin_fetch_schedule const& schedule, std::string const& agent)
 {
     auto const found = std::ranges::find(schedule.order, agent);
     return static_cast<std::size_t>(found - schedule.order.begin());
@@ -50,13 +50,13 @@
     return std::min(wanted, std::max<std::size_t>(agents, 1));
 }
 
-draw_schedule plan_draws(
+origin_fetch_schedule plan_origin_fetches(
     plan_set const& fleet,
     origin_limits const& origin,
     std::uint32_t chunk_bytes,
     base::time_point start)
 {
-    draw_schedule schedule;
+    origin_fetch_schedule schedule;
     std::size_t longest = 0;
     for (auto const& [domain, plan] : fleet)
     {
@@ -73,7 +73,7 @@
         }
     }
     schedule.domains = std::max<std::size_t>(1, fleet.size());
-    schedule.drawers = count_drawers(origin, schedule.order.size());
+    schedule.fetchers = count_drawers(origin, schedule.order.size());
     schedule.start = start;
     if (origin.bytes_per_second > 0)
     {
@@ -83,14 +83,14 @@
     return schedule;
 }
 
-std::string drawer_of(draw_schedule const& schedule, std::uint32_t chunk)
+std::string origin_fetcher_of(origin_fetch_schedule const& schedule, std::uint32_t chunk)
 {
     return schedule.order.empty() ? std::string()
-                                  : schedule.order[chunk % schedule.drawers];
+                                  : schedule.order[chunk % schedule.fetchers];
 }
 
 std::optional<std::size_t> turn_of(
-    draw_schedule const& schedule,
+    origin_fetch_schedule const& schedule,
     std::string const& agent,
     std::uint32_t chunk)
 {
@@ -99,16 +99,16 @@
     {
         return std::nullopt;
     }
-    if (place >= schedule.drawers)
+    if (place >= schedule.fetchers)
     {
         return place;
     }
-    auto const first = chunk % schedule.drawers;
-    return (place + schedule.drawers - first) % schedule.drawers;
+    auto const first = chunk % schedule.fetchers;
+    return (place + schedule.fetchers - first) % schedule.fetchers;
 }
 
-base::time_point draws_at(
-    draw_schedule const& schedule,
+base::time_point origin_fetch_time(
+    origin_fetch_schedule const& schedule,
     std::size_t turn,
     std::uint32_t chunk,
     base::time_point begun)
@@ -119,38 +119,38 @@
                : std::max(slot, begun) + turn_time * static_cast<int>(turn);
 }
 
-std::vector<std::string> earlier_drawers(
-    draw_schedule const& schedule, std::size_t turn, std::uint32_t chunk)
+std::vector<std::string> earlier_fetchers(
+    origin_fetch_schedule const& schedule, std::size_t turn, std::uint32_t chunk)
 {
     std::vector<std::string> found;
-    auto const count = std::min(turn, schedule.drawers);
+    auto const count = std::min(turn, schedule.fetchers);
     for (std::size_t step = 0; step < count; ++step)
     {
-        found.push_back(schedule.order[(chunk + step) % schedule.drawers]);
+        found.push_back(schedule.order[(chunk + step) % schedule.fetchers]);
     }
     return found;
 }
 
-bool may_ask_for_manifest(
-    draw_schedule const& schedule,
+bool may_request_manifest(
+    origin_fetch_schedule const& schedule,
     std::string const& agent,
     base::time_point begun,
     base::time_point now)
 {
     auto const place = place_of(schedule, agent);
-    if (place < schedule.drawers)
+    if (place < schedule.fetchers)
     {
         return place < schedule.domains || now >= begun + other_drawers_time;
     }
-    auto const group = static_cast<int>(place / schedule.drawers);
+    auto const group = static_cast<int>(place / schedule.fetchers);
     return now >= begun + manifest_turn_time * group;
 }
 
 std::chrono::milliseconds
-draw_limit(draw_schedule const& schedule, std::uint32_t failures)
+origin_fetch_timeout(origin_fetch_schedule const& schedule, std::uint32_t failures)
 {
     auto const all_at_once = std::chrono::duration_cast<milliseconds>(
-        schedule.interval * static_cast<int>(schedule.drawers));
+        schedule.interval * static_cast<int>(schedule.fetchers));
     auto const limit = std::max(draw_slack * all_at_once, shortest_limit);
     return std::min(
         limit * (1 << std::min(failures, most_doublings)), longest_limit);
--- a/libs/weights/tests/burst_world.cpp
+++ b/libs/weights/tests/burst_world.cpp
@@ -65,9 +65,9 @@
     base::time_point begins;
     bool begun = false;
     chunk_transfer transfer;
-    source_book book;
-    receive_line receiving;
-    send_line line;
+    source_table book;
+    receive_window receiving;
+    send_window line;
     std::list<question> questions;
     std::vector<check_question> checks;
     std::deque<sending> sends;
@@ -95,7 +95,7 @@
     std::vector<agent> agents;
     std::map<std::string, std::size_t> by_name;
     plan_set fleet;
-    draw_schedule schedule;
+    origin_fetch_schedule schedule;
     std::vector<chunk_source> holders;
     std::vector<std::string> bytes;
     std::vector<std::string> digests;
@@ -157,10 +157,10 @@
         state.agents.push_back(std::move(made));
     }
     state.schedule =
-        plan_draws(state.fleet, {origin_rate, accepted}, chunk_bytes, named);
+        plan_origin_fetches(state.fleet, {origin_rate, accepted}, chunk_bytes, named);
     if (course.all_draw)
     {
-        state.schedule.drawers = state.schedule.order.size();
+        state.schedule.fetchers = state.schedule.order.size();
     }
     for (std::size_t number = 0; number < course.holders; ++number)
     {
@@ -189,7 +189,7 @@
     state.connections[number] = state.now;
     state.outcome.most_connections =
         std::max(state.outcome.most_connections, state.connections.size());
-    auto const limit = draw_limit(state.schedule, failures_of(own.book, {}));
+    auto const limit = origin_fetch_timeout(state.schedule, failures_of(own.book, {}));
     state.draws.push_back({number, index, chunk_bytes, state.now + limit});
 }
 
@@ -207,8 +207,8 @@
             own.begun = true;
             begin(own.transfer, state.digests, state.now);
         }
-        transfer_place const place{own.domain, own.name, "m@2", state.holders};
-        auto const asks = next_asks(
+        transfer_requester const place{own.domain, own.name, "m@2", state.holders};
+        auto const asks = next_chunk_requests(
             own.transfer, own.book, state.fleet, place, state.schedule, {},
             state.now);
         for (auto const& wanted : asks)
@@ -237,14 +237,14 @@
     {
         return;
     }
-    transfer_place const place{own.domain, own.name, "m@2", state.holders};
-    for (auto const& drawer : next_checks(
+    transfer_requester const place{own.domain, own.name, "m@2", state.holders};
+    for (auto const& drawer : next_liveness_checks(
              own.transfer, state.fleet, place, state.schedule, state.now))
     {
         auto const asked = state.by_name.at(drawer.agent);
         auto const lives = !is_dead(state, asked) && state.agents[asked].begun;
         own.checks.push_back(
-            {asked, state.now + (lives ? answer_at_once : check_limit)});
+            {asked, state.now + (lives ? answer_at_once : liveness_check_timeout)});
     }
     for (auto const& check : own.checks)
     {
@@ -253,7 +253,7 @@
         {
             continue;
         }
-        note_check(
+        note_liveness_check(
             own.transfer, other.name,
             !is_dead(state, check.asked) && other.begun);
     }
@@ -313,7 +313,7 @@
     auto& own = state.agents[number];
     for (auto const slow : squeezed_fetches(own.receiving, state.now))
     {
-        strike(own.book, own.receiving.running.at(slow).agent, state.now);
+        avoid_after_failure(own.book, own.receiving.running.at(slow).agent, state.now);
         if (auto const found = own.fetches.find(slow);
             found != own.fetches.end() && !found->second.withdrawn)
         {
@@ -333,7 +333,7 @@
         auto& sender = state.agents[source];
         auto const fetch = begin_fetch(own.receiving, sender.name, state.now);
         own.fetches[fetch] = {index, state.now + fetch_limit};
-        note_called_in(sender.line, state.now);
+        note_fetch_requested(sender.line, state.now);
         sender.sends.push_back({number, index, fetch});
     }
 }
@@ -456,7 +456,7 @@
 {
     for (std::size_t number = 0; number < state.agents.size(); ++number)
     {
-        if (!is_dead(state, number) && !is_whole(state.agents[number].transfer))
+        if (!is_dead(state, number) && !is_complete(state.agents[number].transfer))
         {
             return false;
         }
--- a/libs/weights/tests/chunk_transfer_tests.cpp
+++ b/libs/weights/tests/chunk_transfer_tests.cpp
@@ -51,13 +51,13 @@
     return plans;
 }
 
-draw_schedule schedule()
+origin_fetch_schedule schedule()
 {
-    return plan_draws(fleet(), {}, 32768, start);
+    return plan_origin_fetches(fleet(), {}, 32768, start);
 }
 
 // The schedule of an agent that stands in no fleet.
-draw_schedule schedule_alone(std::chrono::microseconds interval)
+origin_fetch_schedule schedule_alone(std::chrono::microseconds interval)
 {
     return {{"z0"}, 1, 1, start, interval};
 }
@@ -66,7 +66,7 @@
 struct exchange
 {
     std::map<std::string, chunk_transfer> agents;
-    std::map<std::string, source_book> books;
+    std::map<std::string, source_table> books;
     std::uint32_t drawn = 0;
     std::uint32_t rounds = 0;
 };
@@ -94,7 +94,7 @@
             state.agents,
             [](auto const& entry)
             {
-                return !is_whole(entry.second);
+                return !is_complete(entry.second);
             });
     };
     while (unfinished() && state.rounds < 2000)
@@ -104,7 +104,7 @@
         for (auto& [name, transfer] : state.agents)
         {
             auto& book = state.books[name];
-            auto const asks = next_asks(
+            auto const asks = next_chunk_requests(
                 transfer, book, plans, {name.substr(0, 1), name, "m@2"},
                 schedule(), {}, now);
             for (auto const& wanted : asks)
@@ -147,7 +147,7 @@
     auto const state = run({}, false);
     for (auto const& [name, transfer] : state.agents)
     {
-        EXPECT_TRUE(is_whole(transfer)) << name;
+        EXPECT_TRUE(is_complete(transfer)) << name;
     }
     EXPECT_EQ(state.drawn, chunk_count);
 }
@@ -159,7 +159,7 @@
     auto const state = run({"a0", "a3", "b1", "c0", "c4"}, false);
     for (auto const& [name, transfer] : state.agents)
     {
-        EXPECT_TRUE(is_whole(transfer)) << name;
+        EXPECT_TRUE(is_complete(transfer)) << name;
     }
     EXPECT_LE(state.drawn, 2 * chunk_count);
 }
@@ -170,7 +170,7 @@
         {"a0", "a1", "a2", "a3", "a4", "c0", "c1", "c2", "c3", "c4"}, false);
     for (auto const& [name, transfer] : state.agents)
     {
-        EXPECT_TRUE(is_whole(transfer)) << name;
+        EXPECT_TRUE(is_complete(transfer)) << name;
     }
 }
 
@@ -181,7 +181,7 @@
     auto const state = run({}, true);
     for (auto const& [name, transfer] : state.agents)
     {
-        ASSERT_TRUE(is_whole(transfer)) << name;
+        ASSERT_TRUE(is_complete(transfer)) << name;
         for (std::uint32_t index = 0; index < chunk_count; ++index)
         {
             EXPECT_EQ(*transfer.chunks[index], bytes_of(index));
@@ -195,21 +195,21 @@
 {
     chunk_transfer state;
     begin(state, digests(), start);
-    source_book book;
-    transfer_place const place{
+    source_table book;
+    transfer_requester const place{
         "a", "a4", "m@2", {{"a0", "a0:1"}, {"a1", "a1:1"}, {"a2", "a2:1"}}};
     std::map<std::string, int> asked;
-    for (auto now = start; !is_whole(state) && now < start + seconds(5);
+    for (auto now = start; !is_complete(state) && now < start + seconds(5);
          now += milliseconds(20))
     {
         for (auto const& wanted :
-             next_asks(state, book, fleet(), place, schedule(), {}, now))
+             next_chunk_requests(state, book, fleet(), place, schedule(), {}, now))
         {
             ++asked[wanted.source.agent];
             deliver(state, book, wanted.index, bytes_of(wanted.index), now);
         }
     }
-    EXPECT_TRUE(is_whole(state));
+    EXPECT_TRUE(is_complete(state));
     EXPECT_EQ(asked.size(), 3U);
     EXPECT_EQ(asked[""], 0);
     EXPECT_GT(asked["a0"], 10);
@@ -221,15 +221,15 @@
 {
     chunk_transfer state;
     begin(state, digests(), start);
-    source_book book;
-    transfer_place const place{"a", "a2", "m@2", {}};
+    source_table book;
+    transfer_requester const place{"a", "a2", "m@2", {}};
     note_holdings(state, {"c3", "c3:1"}, std::string(chunk_count, '1'), start);
     auto now = start;
-    for (; !is_whole(state) && now < start + seconds(60);
+    for (; !is_complete(state) && now < start + seconds(60);
          now += milliseconds(50))
     {
         for (auto const& wanted :
-             next_asks(state, book, fleet(), place, schedule(), {}, now))
+             next_chunk_requests(state, book, fleet(), place, schedule(), {}, now))
         {
             auto const& source = wanted.source.agent;
             if (source == "c3")
@@ -252,15 +252,15 @@
 {
     chunk_transfer state;
     begin(state, digests(), start);
-    source_book book;
-    transfer_place const alone{"z", "z0", "m@2"};
+    source_table book;
+    transfer_requester const alone{"z", "z0", "m@2"};
     auto const back = start + seconds(6);
     auto now = start;
-    for (; !is_whole(state) && now < start + seconds(60);
+    for (; !is_complete(state) && now < start + seconds(60);
          now += milliseconds(50))
     {
         for (auto const& wanted :
-             next_asks(state, book, {}, alone, schedule_alone({}), {}, now))
+             next_chunk_requests(state, book, {}, alone, schedule_alone({}), {}, now))
         {
             if (now < back)
             {
@@ -304,12 +304,12 @@
 {
     chunk_transfer state;
     begin(state, digests(), start);
-    source_book book;
+    source_table book;
     std::uint32_t drawn = 0;
     for (auto now = start; now < start + milliseconds(1000);
          now += milliseconds(20))
     {
-        for (auto const& wanted : next_asks(
+        for (auto const& wanted : next_chunk_requests(
                  state, book, fleet(), {"a", "a1", "m@2", {}}, schedule(), {},
                  now))
         {
@@ -331,17 +331,17 @@
 {
     chunk_transfer state;
     begin(state, digests(), start);
-    source_book book;
+    source_table book;
     transfer_limits limits;
     limits.origin = chunk_count;
     limits.total = chunk_count;
     auto const paced = schedule_alone(std::chrono::microseconds(25000));
-    transfer_place const alone{"z", "z0", "m@2"};
+    transfer_requester const alone{"z", "z0", "m@2"};
     EXPECT_EQ(
-        next_asks(state, book, {}, alone, paced, limits, start).size(), 1U);
+        next_chunk_requests(state, book, {}, alone, paced, limits, start).size(), 1U);
     auto const later = start + milliseconds(250);
     EXPECT_EQ(
-        next_asks(state, book, {}, alone, paced, limits, later).size(), 10U);
+        next_chunk_requests(state, book, {}, alone, paced, limits, later).size(), 10U);
 }
 
 namespace
@@ -358,7 +358,7 @@
 
     std::vector<chunk_source> checks(base::time_point now)
     {
-        return next_checks(
+        return next_liveness_checks(
             this->transfer, fleet(), this->place, this->draws, now);
     }
 
@@ -366,23 +366,23 @@
     {
         transfer_limits limits;
         limits.origin = chunk_count;
-        auto const asks = next_asks(
+        auto const asks = next_chunk_requests(
             this->transfer, this->book, fleet(), this->place, this->draws,
             limits, now);
         return std::ranges::any_of(
             asks,
-            [](chunk_ask const& wanted)
+            [](wanted_chunk const& wanted)
             {
                 return wanted.index == 0 && wanted.source.agent.empty();
             });
     }
 
-    draw_schedule draws = schedule();
-    std::string drawer = drawer_of(this->draws, 0);
-    transfer_place place{
+    origin_fetch_schedule draws = schedule();
+    std::string drawer = origin_fetcher_of(this->draws, 0);
+    transfer_requester place{
         this->draws.order[1].substr(0, 1), this->draws.order[1], "m@2", {}};
     chunk_transfer transfer;
-    source_book book;
+    source_table book;
 };
 
 constexpr milliseconds may_check{400};
@@ -405,8 +405,8 @@
 {
     standing_in agent;
     agent.checks(start + may_check);
-    auto const answered = start + may_check + check_limit;
-    note_check(agent.transfer, agent.drawer, false);
+    auto const answered = start + may_check + liveness_check_timeout;
+    note_liveness_check(agent.transfer, agent.drawer, false);
     EXPECT_TRUE(agent.draws_first_chunk(answered));
 }
 
@@ -415,28 +415,28 @@
 {
     standing_in agent;
     agent.checks(start + may_check);
-    note_check(agent.transfer, agent.drawer, true);
-    EXPECT_FALSE(agent.draws_first_chunk(start + may_check + check_limit));
+    note_liveness_check(agent.transfer, agent.drawer, true);
+    EXPECT_FALSE(agent.draws_first_chunk(start + may_check + liveness_check_timeout));
 }
 
-// Guards against drawers that ask each other for their own chunks while the
+// Guards against fetchers that ask each other for their own chunks while the
 // origin is away, and then draw later ones first, which nobody asks for yet.
 TEST(chunk_transfer, own_chunks_are_asked_of_others_behind_all_the_rest)
 {
     chunk_transfer transfer;
     begin(transfer, digests(), start);
-    source_book book;
+    source_table book;
     auto const draws = schedule();
     auto const& agent = draws.order.front();
     auto const now = start + seconds(3);
-    hold_off(book, {}, now);
-    auto const asks = next_asks(
+    avoid_briefly(book, {}, now);
+    auto const asks = next_chunk_requests(
         transfer, book, fleet(), {agent.substr(0, 1), agent, "m@2", {}}, draws,
         {}, now);
     EXPECT_EQ(asks.size(), transfer_limits{}.total);
     for (auto const& wanted : asks)
     {
-        EXPECT_NE(drawer_of(draws, wanted.index), agent) << wanted.index;
+        EXPECT_NE(origin_fetcher_of(draws, wanted.index), agent) << wanted.index;
     }
 }
 
--- a/libs/weights/tests/origin_schedule_tests.cpp
+++ b/libs/weights/tests/origin_schedule_tests.cpp
@@ -34,9 +34,9 @@
     return fleet;
 }
 
-draw_schedule schedule_of(std::size_t agents)
+origin_fetch_schedule schedule_of(std::size_t agents)
 {
-    return plan_draws(fleet_of(agents), origin, chunk_bytes, start);
+    return plan_origin_fetches(fleet_of(agents), origin, chunk_bytes, start);
 }
 
 } // namespace
@@ -48,13 +48,13 @@
     for (std::size_t const agents : {1UL, 3UL, 24UL, 88UL, 300UL, 1500UL})
     {
         auto const schedule = schedule_of(agents);
-        std::set<std::string> drawers;
+        std::set<std::string> fetchers;
         for (std::uint32_t chunk = 0; chunk < chunk_count; ++chunk)
         {
-            drawers.insert(drawer_of(schedule, chunk));
+            fetchers.insert(origin_fetcher_of(schedule, chunk));
         }
-        EXPECT_LE(drawers.size() * 4, origin.connections);
-        EXPECT_GE(drawers.size() * 4, std::min<std::size_t>(agents, 48));
+        EXPECT_LE(fetchers.size() * 4, origin.connections);
+        EXPECT_GE(fetchers.size() * 4, std::min<std::size_t>(agents, 48));
     }
 }
 
@@ -62,9 +62,9 @@
 {
     auto const schedule = schedule_of(88);
     std::map<char, int> by_domain;
-    for (std::uint32_t chunk = 0; chunk < schedule.drawers; ++chunk)
+    for (std::uint32_t chunk = 0; chunk < schedule.fetchers; ++chunk)
     {
-        ++by_domain[drawer_of(schedule, chunk).front()];
+        ++by_domain[origin_fetcher_of(schedule, chunk).front()];
     }
     EXPECT_EQ(by_domain.size(), 3U);
     EXPECT_EQ(by_domain['a'], by_domain['c']);
@@ -85,7 +85,7 @@
             ASSERT_TRUE(turn);
             ++turns[*turn];
             auto const slot = start + chunk * schedule.interval;
-            if (draws_at(schedule, *turn, chunk, start) <= slot + seconds(6))
+            if (origin_fetch_time(schedule, *turn, chunk, start) <= slot + seconds(6))
             {
                 within.insert(agent);
             }
@@ -98,7 +98,7 @@
 TEST(origin_schedule, the_whole_copy_takes_the_time_of_the_origins_link)
 {
     auto const schedule = schedule_of(88);
-    auto const last = draws_at(schedule, 0, chunk_count - 1, start);
+    auto const last = origin_fetch_time(schedule, 0, chunk_count - 1, start);
     EXPECT_LE(last, start + milliseconds(1700));
     EXPECT_GE(last, start + milliseconds(1500));
 }
@@ -109,8 +109,8 @@
 {
     auto const schedule = schedule_of(24);
     auto const late = start + seconds(20);
-    EXPECT_EQ(draws_at(schedule, 1, 5, late), late + seconds(1));
-    EXPECT_LT(draws_at(schedule, 0, 5, late), late);
+    EXPECT_EQ(origin_fetch_time(schedule, 1, 5, late), late + seconds(1));
+    EXPECT_LT(origin_fetch_time(schedule, 0, 5, late), late);
 }
 
 TEST(origin_schedule, the_manifest_is_asked_for_by_few_at_first)
@@ -120,9 +120,9 @@
     std::size_t in_the_end = 0;
     for (auto const& agent : schedule.order)
     {
-        at_once += may_ask_for_manifest(schedule, agent, start, start);
+        at_once += may_request_manifest(schedule, agent, start, start);
         in_the_end +=
-            may_ask_for_manifest(schedule, agent, start, start + seconds(20));
+            may_request_manifest(schedule, agent, start, start + seconds(20));
     }
     EXPECT_EQ(at_once, schedule.domains);
     EXPECT_EQ(in_the_end, 88U);
@@ -131,16 +131,16 @@
 TEST(origin_schedule, a_draw_that_hangs_is_given_up_and_then_given_more_time)
 {
     auto const schedule = schedule_of(88);
-    EXPECT_LE(draw_limit(schedule, 0), milliseconds(1300));
-    EXPECT_GE(draw_limit(schedule, 0), milliseconds(800));
-    EXPECT_EQ(draw_limit(schedule, 1), 2 * draw_limit(schedule, 0));
-    EXPECT_LE(draw_limit(schedule, 9), milliseconds(4000));
+    EXPECT_LE(origin_fetch_timeout(schedule, 0), milliseconds(1300));
+    EXPECT_GE(origin_fetch_timeout(schedule, 0), milliseconds(800));
+    EXPECT_EQ(origin_fetch_timeout(schedule, 1), 2 * origin_fetch_timeout(schedule, 0));
+    EXPECT_LE(origin_fetch_timeout(schedule, 9), milliseconds(4000));
 }
 
 TEST(origin_schedule, one_that_is_in_no_list_has_no_turn)
 {
     EXPECT_FALSE(turn_of(schedule_of(24), "z", 3));
-    EXPECT_TRUE(drawer_of({}, 3).empty());
+    EXPECT_TRUE(origin_fetcher_of({}, 3).empty());
 }
 
 } // namespace foxtailvale::weights
--- a/libs/weights/tests/switch_time_tests.cpp
+++ b/libs/weights/tests/switch_time_tests.cpp
@@ -26,19 +26,19 @@
 milliseconds const arrival{3200};
 
 // What an engine knows at this moment when chunks come after `arrival`.
-switch_ask ask_of(
+switch_context ask_of(
     std::uint64_t serving,
-    std::vector<named_target> const& known,
+    std::vector<announced_target> const& known,
     std::size_t rank,
     std::size_t count,
     base::time_point now)
 {
-    switch_ask ask{serving, known, bound, rank, count, arrival, {}};
+    switch_context ask{serving, known, bound, rank, count, arrival, {}};
     ask.whole = [known,
                  now](std::uint64_t version) -> std::optional<base::time_point>
     {
         auto const found =
-            std::ranges::find(known, version, &named_target::version);
+            std::ranges::find(known, version, &announced_target::version);
         auto const at = found->named + arrival;
         return now >= at ? std::optional(at) : std::nullopt;
     };
@@ -61,13 +61,13 @@
 };
 
 // Runs a failure domain through versions named at these moments.
-outcome run(std::size_t count, std::vector<named_target> const& named)
+outcome run(std::size_t count, std::vector<announced_target> const& named)
 {
     outcome result;
     result.engines.resize(count);
     for (auto now = start; now < start + seconds(30); now += milliseconds(10))
     {
-        std::vector<named_target> known;
+        std::vector<announced_target> known;
         for (auto const& target : named)
         {
             if (target.named <= now)
@@ -91,8 +91,8 @@
                 continue;
             }
             auto const found =
-                std::ranges::find(known, target, &named_target::version);
-            if (now >= switch_turn(ask, target) &&
+                std::ranges::find(known, target, &announced_target::version);
+            if (now >= planned_switch_time(ask, target) &&
                 now >= found->named + arrival)
             {
                 own.serving = target;
@@ -157,7 +157,7 @@
 TEST(switch_time, engines_take_turns_also_when_chunks_come_late)
 {
     constexpr std::size_t count = 14;
-    std::vector<named_target> const named{{2, start}};
+    std::vector<announced_target> const named{{2, start}};
     auto const late = start + milliseconds(5500);
     std::vector<base::time_point> turns;
     for (std::size_t rank = 0; rank < count; ++rank)
@@ -167,7 +167,7 @@
         {
             return late;
         };
-        turns.push_back(switch_turn(ask, 2));
+        turns.push_back(planned_switch_time(ask, 2));
     }
     std::ranges::sort(turns);
     EXPECT_GE(turns.front(), late);
@@ -182,7 +182,7 @@
 // that skips the first is idle for two seconds, which costs more than a switch.
 TEST(switch_time, a_version_is_not_skipped_when_the_next_one_comes_too_late)
 {
-    std::vector<named_target> const named{{2, start}, {3, start + seconds(4)}};
+    std::vector<announced_target> const named{{2, start}, {3, start + seconds(4)}};
     auto const now = start + milliseconds(4100);
     for (std::size_t rank = 0; rank < 14; ++rank)
     {
@@ -207,10 +207,10 @@
 
 TEST(switch_time, an_engine_without_weights_waits_for_nobody)
 {
-    std::vector<named_target> const named{{2, start}};
-    switch_ask const ask{0, named, bound, 3, 14, {}, {}};
+    std::vector<announced_target> const named{{2, start}};
+    switch_context const ask{0, named, bound, 3, 14, {}, {}};
     EXPECT_EQ(choose_target(ask), 2U);
-    EXPECT_LE(switch_turn(ask, 2), start);
+    EXPECT_LE(planned_switch_time(ask, 2), start);
 }
 
 TEST(switch_time, without_a_named_version_the_first_is_meant)
@@ -223,27 +223,27 @@
 // they serve, although the first version lies whole beside them.
 TEST(switch_time, a_whole_version_between_is_used_when_the_newest_does_not_come)
 {
-    std::vector<named_target> const named{{2, start}, {3, start + seconds(2)}};
-    switch_ask const ask{1, named, bound, 0, 14, arrival, {}};
+    std::vector<announced_target> const named{{2, start}, {3, start + seconds(2)}};
+    switch_context const ask{1, named, bound, 0, 14, arrival, {}};
     ASSERT_EQ(choose_target(ask), 3U);
     auto const only_second = [](std::uint64_t version) -> std::size_t
     {
         return version == 2 ? 0 : 64;
     };
-    EXPECT_EQ(fall_back(ask, 3, only_second, start + seconds(4)), 3U);
-    EXPECT_EQ(fall_back(ask, 3, only_second, start + seconds(6)), 2U);
+    EXPECT_EQ(choose_fallback_target(ask, 3, only_second, start + seconds(4)), 3U);
+    EXPECT_EQ(choose_fallback_target(ask, 3, only_second, start + seconds(6)), 2U);
     auto const nearly = [](std::uint64_t version) -> std::size_t
     {
         return version == 2 ? 0 : 5;
     };
-    EXPECT_EQ(fall_back(ask, 3, nearly, start + seconds(7)), 3U);
+    EXPECT_EQ(choose_fallback_target(ask, 3, nearly, start + seconds(7)), 3U);
     // A switch that comes a moment too late is better than two.
-    EXPECT_EQ(fall_back(ask, 3, nearly, start + milliseconds(7900)), 3U);
+    EXPECT_EQ(choose_fallback_target(ask, 3, nearly, start + milliseconds(7900)), 3U);
     auto const none = [](std::uint64_t) -> std::size_t
     {
         return 64;
     };
-    EXPECT_EQ(fall_back(ask, 3, none, start + seconds(6)), 3U);
+    EXPECT_EQ(choose_fallback_target(ask, 3, none, start + seconds(6)), 3U);
 }
 
 // All engines of a failure domain give up a version before the last of them has
@@ -251,14 +251,14 @@
 // nobody.
 TEST(switch_time, some_engine_keeps_the_version_until_others_have_the_newer)
 {
-    std::vector<named_target> const named{{2, start}};
+    std::vector<announced_target> const named{{2, start}};
     for (std::size_t const count : {2UL, 3UL, 4UL, 14UL})
     {
         std::vector<base::time_point> turns;
         for (std::size_t rank = 0; rank < count; ++rank)
         {
             turns.push_back(
-                switch_turn({1, named, bound, rank, count, arrival, {}}, 2));
+                planned_switch_time({1, named, bound, rank, count, arrival, {}}, 2));
         }
         auto const [first, last] = std::ranges::minmax(turns);
         EXPECT_GE(last - first, lost) << count;
