--- a/libs/gateway/include/gateway/view_relay.hpp
+++ b/libs/gateway/include/gateway/view_relay.hpp
@@ -56,7 +56,7 @@
     void stop();
 
     // Messages of other entries, by their IP addresses.
-    void take_ask(std::string const& from, wire::ViewAsk const& ask);
+    void handle_ask(std::string const& from, wire::ViewAsk const& ask);
     void take_notice(std::string const& from, wire::ViewNotice const& notice);
 
     // Sends a datagram's bytes to an entry. Set before start().
--- a/libs/gateway/src/domain_reports.cpp
+++ b/libs/gateway/src/domain_reports.cpp
@@ -177,7 +177,7 @@
     }
 }
 
-void domain_reports::take_ask(std::string const& from)
+void domain_reports::handle_ask(std::string const& from)
 {
     // Failure: all processes are killed, and for a second entries know nothing
     // of the engines of other domains.
--- a/libs/gateway/src/domain_reports.hpp
+++ b/libs/gateway/src/domain_reports.hpp
@@ -31,7 +31,7 @@
     void start();
 
     // Messages of other entries, by their IP addresses.
-    void take_ask(std::string const& from);
+    void handle_ask(std::string const& from);
     // Entries of the domain were named.
     void note_named(std::string const& domain);
     void
--- a/libs/gateway/src/entry.cpp
+++ b/libs/gateway/src/entry.cpp
@@ -196,7 +196,7 @@
     {
         if (auto const found = reporting.lock())
         {
-            found->take_ask(from);
+            found->handle_ask(from);
         }
     };
     this->peers->on_passed_reports =
@@ -225,7 +225,7 @@
     {
         if (auto const found = held.lock())
         {
-            found->take_ask(from, ask);
+            found->handle_ask(from, ask);
         }
     };
     this->peers->on_view_notice =
--- a/libs/gateway/src/view_relay.cpp
+++ b/libs/gateway/src/view_relay.cpp
@@ -438,7 +438,7 @@
     }
 }
 
-void view_relay::take_ask(std::string const& from, wire::ViewAsk const& ask)
+void view_relay::handle_ask(std::string const& from, wire::ViewAsk const& ask)
 {
     if (this->stopped)
     {
