--- a/libs/direct/tests/played_agents.cpp
+++ b/libs/direct/tests/played_agents.cpp
@@ -241,7 +241,7 @@
     }
 }
 
-void take_notice(world& state, std::size_t number, named_version const& told)
+void handle_notice(world& state, std::size_t number, named_version const& told)
 {
     constexpr int least_arrival = 2900;
     constexpr int most_arrival = 4000;
@@ -306,7 +306,7 @@
                 state, wire_time,
                 [&state, number, named]
                 {
-                    take_notice(state, number, named);
+                    handle_notice(state, number, named);
                 });
         }
     }
--- a/libs/gateway/include/gateway/view_relay.hpp
+++ b/libs/gateway/include/gateway/view_relay.hpp
@@ -57,7 +57,7 @@
 
     // Messages of other entries, by their IP addresses.
     void handle_ask(std::string const& from, wire::ViewAsk const& ask);
-    void take_notice(std::string const& from, wire::ViewNotice const& notice);
+    void handle_notice(std::string const& from, wire::ViewNotice const& notice);
 
     // Sends a datagram's bytes to an entry. Set before start().
     std::function<void(std::string const& entry, std::string const& bytes)>
--- a/libs/gateway/src/agent.cpp
+++ b/libs/gateway/src/agent.cpp
@@ -74,7 +74,7 @@
     };
     this->reports->on_fleet = [this](wire::FleetNotice const& notice)
     {
-        this->lists->take_notice(notice);
+        this->lists->handle_notice(notice);
     };
     this->reports->on_version = [this](
                                     std::string const& model,
--- a/libs/gateway/src/entry.cpp
+++ b/libs/gateway/src/entry.cpp
@@ -233,7 +233,7 @@
     {
         if (auto const found = held.lock())
         {
-            found->take_notice(from, notice);
+            found->handle_notice(from, notice);
         }
     };
 }
--- a/libs/gateway/src/fleet_lists.cpp
+++ b/libs/gateway/src/fleet_lists.cpp
@@ -93,7 +93,7 @@
     this->read_endpoints();
 }
 
-void fleet_lists::take_notice(wire::FleetNotice const& notice)
+void fleet_lists::handle_notice(wire::FleetNotice const& notice)
 {
     if (this->token == 0 || notice.token() != this->token ||
         notice.agents_size() != notice.versions_size())
--- a/libs/gateway/src/fleet_lists.hpp
+++ b/libs/gateway/src/fleet_lists.hpp
@@ -44,7 +44,7 @@
     void read();
 
     // Takes what an entry said of one failure domain.
-    void take_notice(wire::FleetNotice const& notice);
+    void handle_notice(wire::FleetNotice const& notice);
 
     // Called when the lists were read. Set before read().
     std::function<void()> on_read;
--- a/libs/gateway/src/view_relay.cpp
+++ b/libs/gateway/src/view_relay.cpp
@@ -485,7 +485,7 @@
     return found == this->feeds.end() ? nullptr : found->get();
 }
 
-void view_relay::take_notice(
+void view_relay::handle_notice(
     std::string const& from, wire::ViewNotice const& notice)
 {
     auto const now = base::boot_now();
