--- a/libs/gateway/include/gateway/agent.hpp
+++ b/libs/gateway/include/gateway/agent.hpp
@@ -48,7 +48,7 @@
 
 private:
     void await_signal();
-    void run_chores();
+    void run_maintenance();
     void poll_engine();
     void take_report(std::optional<fetched> const& response);
     // Watches the named versions while no entry tells them.
--- a/libs/gateway/include/gateway/entry.hpp
+++ b/libs/gateway/include/gateway/entry.hpp
@@ -40,7 +40,7 @@
     void join_peers();
     void await_signal();
     void run_tick();
-    void run_chores();
+    void run_maintenance();
     // Asks agents that became known, all of the next moment together.
     void subscribe_soon();
     void await_end();
--- a/libs/gateway/src/agent.cpp
+++ b/libs/gateway/src/agent.cpp
@@ -99,7 +99,7 @@
         return "peers' address: " + *fault;
     }
     this->await_signal();
-    this->run_chores();
+    this->run_maintenance();
     this->poll_engine();
     return std::nullopt;
 }
@@ -132,7 +132,7 @@
             }
             if (signal == SIGHUP)
             {
-                self->run_chores();
+                self->run_maintenance();
                 self->await_signal();
                 return;
             }
@@ -143,7 +143,7 @@
         });
 }
 
-void agent_process::run_chores()
+void agent_process::run_maintenance()
 {
     if (auto const changed = this->file.read_changed())
     {
@@ -160,7 +160,7 @@
         {
             if (!error)
             {
-                self->run_chores();
+                self->run_maintenance();
             }
         });
 }
--- a/libs/gateway/src/entry.cpp
+++ b/libs/gateway/src/entry.cpp
@@ -175,7 +175,7 @@
     this->reports->start();
     this->await_signal();
     this->run_tick();
-    this->run_chores();
+    this->run_maintenance();
     return std::nullopt;
 }
 
@@ -255,7 +255,7 @@
             }
             if (signal == SIGHUP)
             {
-                self->run_chores();
+                self->run_maintenance();
             }
             else
             {
@@ -286,7 +286,7 @@
         });
 }
 
-void entry_process::run_chores()
+void entry_process::run_maintenance()
 {
     if (auto const changed = this->file.read_changed())
     {
@@ -305,7 +305,7 @@
         {
             if (!error)
             {
-                self->run_chores();
+                self->run_maintenance();
             }
         });
 }
