--- a/libs/gateway/include/gateway/agent.hpp
+++ b/libs/gateway/include/gateway/agent.hpp
@@ -77,7 +77,7 @@
     std::optional<base::time_point> alone_since;
     boost::asio::signal_set signals;
     boost::asio::steady_timer report_timer;
-    boost::asio::steady_timer chore_timer;
+    boost::asio::steady_timer maintenance_timer;
     bool stopped = false;
 };
 
--- a/libs/gateway/include/gateway/entry.hpp
+++ b/libs/gateway/include/gateway/entry.hpp
@@ -57,7 +57,7 @@
     std::shared_ptr<view_relay> relay;
     boost::asio::signal_set signals;
     boost::asio::steady_timer tick_timer;
-    boost::asio::steady_timer chore_timer;
+    boost::asio::steady_timer maintenance_timer;
     boost::asio::steady_timer subscribe_timer;
     bool subscribe_planned = false;
     boost::asio::steady_timer stop_timer;
--- a/libs/gateway/src/agent.cpp
+++ b/libs/gateway/src/agent.cpp
@@ -49,7 +49,7 @@
       reports(std::make_shared<report_link>(this->context)),
       lists(std::make_shared<fleet_lists>(this->context)),
       signals(event_loop, SIGTERM, SIGINT, SIGHUP), report_timer(event_loop),
-      chore_timer(event_loop)
+      maintenance_timer(event_loop)
 {
     this->fetcher->on_progress = [this]
     {
@@ -111,7 +111,7 @@
     this->reports->close();
     this->end_watch();
     this->report_timer.cancel();
-    this->chore_timer.cancel();
+    this->maintenance_timer.cancel();
     this->signals.cancel();
 }
 
@@ -154,8 +154,8 @@
     this->context->pool.sweep();
     this->reports->forget_silent();
     this->watch_if_alone();
-    this->chore_timer.expires_after(chore_interval);
-    this->chore_timer.async_wait(
+    this->maintenance_timer.expires_after(chore_interval);
+    this->maintenance_timer.async_wait(
         [self = this->shared_from_this()](boost::system::error_code error)
         {
             if (!error)
--- a/libs/gateway/src/entry.cpp
+++ b/libs/gateway/src/entry.cpp
@@ -65,7 +65,7 @@
       reports(std::make_shared<domain_reports>(this->context)),
       views(std::make_shared<entry_views>(this->context)),
       signals(event_loop, SIGTERM, SIGINT, SIGHUP), tick_timer(event_loop),
-      chore_timer(event_loop), subscribe_timer(event_loop),
+      maintenance_timer(event_loop), subscribe_timer(event_loop),
       stop_timer(event_loop)
 {
     this->views->on_limits = [this](routing::caller_limits const& limits)
@@ -299,8 +299,8 @@
         this->context->traffic, this->context->book,
         this->context->settings.failure_domain, this->context->counters);
     this->peers->subscribe();
-    this->chore_timer.expires_after(chore_interval);
-    this->chore_timer.async_wait(
+    this->maintenance_timer.expires_after(chore_interval);
+    this->maintenance_timer.async_wait(
         [self = this->shared_from_this()](boost::system::error_code error)
         {
             if (!error)
