--- a/libs/gateway/src/agent.cpp
+++ b/libs/gateway/src/agent.cpp
@@ -27,7 +27,7 @@
 // figures, and a full engine ends a request about as often.
 constexpr milliseconds report_interval{100};
 constexpr milliseconds report_limit{500};
-constexpr milliseconds chore_interval{1000};
+constexpr milliseconds maintenance_interval{1000};
 
 // Entries say with each subscription, once a second, which versions are named.
 // An agent that no entry reaches for this long watches them itself. Failure:
@@ -154,7 +154,7 @@
     this->context->pool.sweep();
     this->reports->forget_silent();
     this->watch_if_alone();
-    this->maintenance_timer.expires_after(chore_interval);
+    this->maintenance_timer.expires_after(maintenance_interval);
     this->maintenance_timer.async_wait(
         [self = this->shared_from_this()](boost::system::error_code error)
         {
--- a/libs/gateway/src/entry.cpp
+++ b/libs/gateway/src/entry.cpp
@@ -21,7 +21,7 @@
 constexpr milliseconds tick{20};
 
 // Connections, settings and subscriptions are looked after this often.
-constexpr milliseconds chore_interval{1000};
+constexpr milliseconds maintenance_interval{1000};
 
 // Endpoints that become known within this time are asked together. Failure:
 // a fleet registered within seconds, and with each endpoint every entry asked
@@ -299,7 +299,7 @@
         this->context->traffic, this->context->book,
         this->context->settings.failure_domain, this->context->counters);
     this->peers->subscribe();
-    this->maintenance_timer.expires_after(chore_interval);
+    this->maintenance_timer.expires_after(maintenance_interval);
     this->maintenance_timer.async_wait(
         [self = this->shared_from_this()](boost::system::error_code error)
         {
