--- a/libs/gateway/include/gateway/kept_view.hpp
+++ b/libs/gateway/include/gateway/cached_view.hpp
@@ -1,5 +1,5 @@
-#ifndef FOXTAILVALE_GATEWAY_KEPT_VIEW_HPP
-#define FOXTAILVALE_GATEWAY_KEPT_VIEW_HPP
+#ifndef FOXTAILVALE_GATEWAY_CACHED_VIEW_HPP
+#define FOXTAILVALE_GATEWAY_CACHED_VIEW_HPP
 
 #include <base/boot_clock.hpp>
 #include <platform/objects.hpp>
--- a/libs/gateway/include/gateway/view_feed.hpp
+++ b/libs/gateway/include/gateway/view_feed.hpp
@@ -1,7 +1,7 @@
 #ifndef FOXTAILVALE_GATEWAY_VIEW_FEED_HPP
 #define FOXTAILVALE_GATEWAY_VIEW_FEED_HPP
 
-#include <gateway/kept_view.hpp>
+#include <gateway/cached_view.hpp>
 #include <gateway/store_watch.hpp>
 
 #include <functional>
--- a/libs/gateway/src/kept_view.cpp
+++ b/libs/gateway/src/kept_view.cpp
@@ -1,4 +1,4 @@
-#include <gateway/kept_view.hpp>
+#include <gateway/cached_view.hpp>
 
 #include <algorithm>
 #include <utility>
--- a/libs/gateway/tests/kept_view_tests.cpp
+++ b/libs/gateway/tests/kept_view_tests.cpp
@@ -1,5 +1,5 @@
 #include <base/random.hpp>
-#include <gateway/kept_view.hpp>
+#include <gateway/cached_view.hpp>
 
 #include <gtest/gtest.h>
 
