--- a/libs/gateway/include/gateway/agent.hpp
+++ b/libs/gateway/include/gateway/agent.hpp
@@ -48,7 +48,7 @@
 
 private:
     void await_signal();
-    void run_chores();
+    void run_maintenance();
     void poll_engine();
     void take_report(std::optional<fetched> const& response);
     // Watches the named versions while no entry tells them.
@@ -77,7 +77,7 @@
     std::optional<base::time_point> alone_since;
     boost::asio::signal_set signals;
     boost::asio::steady_timer report_timer;
-    boost::asio::steady_timer chore_timer;
+    boost::asio::steady_timer maintenance_timer;
     bool stopped = false;
 };
 
--- a/libs/gateway/include/gateway/entry.hpp
+++ b/libs/gateway/include/gateway/entry.hpp
@@ -40,7 +40,7 @@
     void join_peers();
     void await_signal();
     void run_tick();
-    void run_chores();
+    void run_maintenance();
     // Asks agents that became known, all of the next moment together.
     void subscribe_soon();
     void await_end();
@@ -57,7 +57,7 @@
     std::shared_ptr<view_relay> relay;
     boost::asio::signal_set signals;
     boost::asio::steady_timer tick_timer;
-    boost::asio::steady_timer chore_timer;
+    boost::asio::steady_timer maintenance_timer;
     boost::asio::steady_timer subscribe_timer;
     bool subscribe_planned = false;
     boost::asio::steady_timer stop_timer;
--- a/libs/gateway/src/agent.cpp
+++ b/libs/gateway/src/agent.cpp
@@ -27,7 +27,7 @@
 // figures, and a full engine ends a request about as often.
 constexpr milliseconds report_interval{100};
 constexpr milliseconds report_limit{500};
-constexpr milliseconds chore_interval{1000};
+constexpr milliseconds maintenance_interval{1000};
 
 // Entries say with each subscription, once a second, which versions are named.
 // An agent that no entry reaches for this long watches them itself. Failure:
@@ -49,7 +49,7 @@
       reports(std::make_shared<report_link>(this->context)),
       lists(std::make_shared<fleet_lists>(this->context)),
       signals(event_loop, SIGTERM, SIGINT, SIGHUP), report_timer(event_loop),
-      chore_timer(event_loop)
+      maintenance_timer(event_loop)
 {
     this->fetcher->on_progress = [this]
     {
@@ -74,7 +74,7 @@
     };
     this->reports->on_fleet = [this](wire::FleetNotice const& notice)
     {
-        this->lists->take_notice(notice);
+        this->lists->handle_notice(notice);
     };
     this->reports->on_version = [this](
                                     std::string const& model,
@@ -99,7 +99,7 @@
         return "peers' address: " + *fault;
     }
     this->await_signal();
-    this->run_chores();
+    this->run_maintenance();
     this->poll_engine();
     return std::nullopt;
 }
@@ -111,7 +111,7 @@
     this->reports->close();
     this->end_watch();
     this->report_timer.cancel();
-    this->chore_timer.cancel();
+    this->maintenance_timer.cancel();
     this->signals.cancel();
 }
 
@@ -132,7 +132,7 @@
             }
             if (signal == SIGHUP)
             {
-                self->run_chores();
+                self->run_maintenance();
                 self->await_signal();
                 return;
             }
@@ -143,7 +143,7 @@
         });
 }
 
-void agent_process::run_chores()
+void agent_process::run_maintenance()
 {
     if (auto const changed = this->file.read_changed())
     {
@@ -154,13 +154,13 @@
     this->context->pool.sweep();
     this->reports->forget_silent();
     this->watch_if_alone();
-    this->chore_timer.expires_after(chore_interval);
-    this->chore_timer.async_wait(
+    this->maintenance_timer.expires_after(maintenance_interval);
+    this->maintenance_timer.async_wait(
         [self = this->shared_from_this()](boost::system::error_code error)
         {
             if (!error)
             {
-                self->run_chores();
+                self->run_maintenance();
             }
         });
 }
--- a/libs/gateway/src/entry.cpp
+++ b/libs/gateway/src/entry.cpp
@@ -21,7 +21,7 @@
 constexpr milliseconds tick{20};
 
 // Connections, settings and subscriptions are looked after this often.
-constexpr milliseconds chore_interval{1000};
+constexpr milliseconds maintenance_interval{1000};
 
 // Endpoints that become known within this time are asked together. Failure:
 // a fleet registered within seconds, and with each endpoint every entry asked
@@ -65,7 +65,7 @@
       reports(std::make_shared<domain_reports>(this->context)),
       views(std::make_shared<entry_views>(this->context)),
       signals(event_loop, SIGTERM, SIGINT, SIGHUP), tick_timer(event_loop),
-      chore_timer(event_loop), subscribe_timer(event_loop),
+      maintenance_timer(event_loop), subscribe_timer(event_loop),
       stop_timer(event_loop)
 {
     this->views->on_limits = [this](routing::caller_limits const& limits)
@@ -175,7 +175,7 @@
     this->reports->start();
     this->await_signal();
     this->run_tick();
-    this->run_chores();
+    this->run_maintenance();
     return std::nullopt;
 }
 
@@ -196,7 +196,7 @@
     {
         if (auto const found = reporting.lock())
         {
-            found->take_ask(from);
+            found->handle_ask(from);
         }
     };
     this->peers->on_passed_reports =
@@ -225,7 +225,7 @@
     {
         if (auto const found = held.lock())
         {
-            found->take_ask(from, ask);
+            found->handle_ask(from, ask);
         }
     };
     this->peers->on_view_notice =
@@ -233,7 +233,7 @@
     {
         if (auto const found = held.lock())
         {
-            found->take_notice(from, notice);
+            found->handle_notice(from, notice);
         }
     };
 }
@@ -255,7 +255,7 @@
             }
             if (signal == SIGHUP)
             {
-                self->run_chores();
+                self->run_maintenance();
             }
             else
             {
@@ -286,7 +286,7 @@
         });
 }
 
-void entry_process::run_chores()
+void entry_process::run_maintenance()
 {
     if (auto const changed = this->file.read_changed())
     {
@@ -299,13 +299,13 @@
         this->context->traffic, this->context->book,
         this->context->settings.failure_domain, this->context->counters);
     this->peers->subscribe();
-    this->chore_timer.expires_after(chore_interval);
-    this->chore_timer.async_wait(
+    this->maintenance_timer.expires_after(maintenance_interval);
+    this->maintenance_timer.async_wait(
         [self = this->shared_from_this()](boost::system::error_code error)
         {
             if (!error)
             {
-                self->run_chores();
+                self->run_maintenance();
             }
         });
 }
--- a/libs/gateway/src/view_relay.cpp
+++ b/libs/gateway/src/view_relay.cpp
@@ -438,7 +438,7 @@
     }
 }
 
-void view_relay::take_ask(std::string const& from, wire::ViewAsk const& ask)
+void view_relay::handle_ask(std::string const& from, wire::ViewAsk const& ask)
 {
     if (this->stopped)
     {
@@ -485,7 +485,7 @@
     return found == this->feeds.end() ? nullptr : found->get();
 }
 
-void view_relay::take_notice(
+void view_relay::handle_notice(
     std::string const& from, wire::ViewNotice const& notice)
 {
     auto const now = base::boot_now();
