--- a/libs/gateway/src/answer_status.hpp
+++ b/libs/gateway/src/answer_status.hpp
@@ -6,7 +6,7 @@
 
 // Statuses that promise "not run"; an endpoint that says one of them without
 // saying so in its own way has made no such promise.
-inline bool is_promise(unsigned status)
+inline bool promises_not_run(unsigned status)
 {
     return status == 408 || status == 421 || status == 429 || status == 503;
 }
--- a/libs/gateway/src/call_attempt.cpp
+++ b/libs/gateway/src/call_attempt.cpp
@@ -232,7 +232,7 @@
         (!now_running.is_stream || now_running.events.rest.empty());
     auto const facts = now_running.facts;
     auto const ran = direct::judge_run(facts);
-    if (direct::is_answer(facts) && !is_promise(facts.status))
+    if (direct::is_answer(facts) && !promises_not_run(facts.status))
     {
         this->answer();
         return;
