--- a/libs/gateway/src/call_attempt.cpp
+++ b/libs/gateway/src/call_attempt.cpp
@@ -277,7 +277,7 @@
     direct::note_cut(
         this->context->book, this->current->endpoint, this->print,
         clock::now());
-    try_reach(
+    probe_connection(
         this->context->loop, this->current->address,
         [shared = this->context,
          endpoint = this->current->endpoint](bool reached)
--- a/libs/gateway/src/reach.cpp
+++ b/libs/gateway/src/reach.cpp
@@ -26,7 +26,7 @@
 
 } // namespace
 
-void try_reach(
+void probe_connection(
     boost::asio::io_context& loop,
     std::string const& address,
     std::function<void(bool reached)> done)
--- a/libs/gateway/src/reach.hpp
+++ b/libs/gateway/src/reach.hpp
@@ -11,7 +11,7 @@
 
 // Opens a connection to the address and ends it at once; says whether somebody
 // listens there. Costs a handshake and no request.
-void try_reach(
+void probe_connection(
     boost::asio::io_context& loop,
     std::string const& address,
     std::function<void(bool reached)> done);
