--- a/libs/gateway/include/gateway/entry_views.hpp
+++ b/libs/gateway/include/gateway/entry_views.hpp
@@ -52,8 +52,8 @@
     void take_domain(platform::store_object const& object);
     void note_return(
         platform::object_kind kind,
-        platform::store_mark const& before,
-        platform::store_mark const& now);
+        platform::store_position const& before,
+        platform::store_position const& now);
     std::function<void(bool, std::string const&)> report_loss(char const* what);
 
     std::shared_ptr<entry_context> context;
--- a/libs/gateway/include/gateway/kept_view.hpp
+++ b/libs/gateway/include/gateway/kept_view.hpp
@@ -34,7 +34,7 @@
 struct kept_view
 {
     // Of the last change; zero before the first listing.
-    platform::store_mark mark;
+    platform::store_position mark;
     // Until which moment all that was accepted is in here.
     std::optional<base::boot_time> confirmed;
     std::map<std::string, kept_object> objects;
@@ -71,13 +71,13 @@
 void put_list(
     kept_view& state,
     std::vector<platform::store_object> const& objects,
-    platform::store_mark const& mark,
+    platform::store_position const& mark,
     base::boot_time now);
 
 void put_change(
     kept_view& state,
     platform::store_object const& object,
-    platform::store_mark const& mark,
+    platform::store_position const& mark,
     base::boot_time now);
 
 // Takes an object that another entry holds and that is newer, by its own
@@ -93,7 +93,7 @@
 // Never goes back.
 void confirm(kept_view& state, base::boot_time until);
 
-view_page page_after(kept_view const& state, platform::store_mark const& known);
+view_page page_after(kept_view const& state, platform::store_position const& known);
 
 } // namespace foxtailvale::gateway
 
--- a/libs/gateway/include/gateway/store_watch.hpp
+++ b/libs/gateway/include/gateway/store_watch.hpp
@@ -39,7 +39,7 @@
     // The store came back from a copy; what it holds now is handed on next.
     // May be empty.
     std::function<void(
-        platform::store_mark const& before, platform::store_mark const& now)>
+        platform::store_position const& before, platform::store_position const& now)>
         on_return;
 };
 
@@ -74,7 +74,7 @@
     void stop();
 
     // Mark of the answer that is being handed on or was last.
-    platform::store_mark const& mark_read() const;
+    platform::store_position const& mark_read() const;
 
     // The platform could not be read a moment ago: entries may be missing
     // that come back.
@@ -105,7 +105,7 @@
     bool stopped = false;
     bool waiting_to_retry = false;
     bool watching = false;
-    platform::store_mark mark;
+    platform::store_position mark;
     unsigned status = 0;
     // Of the answer at hand; zero if it names none.
     std::uint64_t answer_era = 0;
--- a/libs/gateway/include/gateway/view_feed.hpp
+++ b/libs/gateway/include/gateway/view_feed.hpp
@@ -45,7 +45,7 @@
     platform::object_kind kind() const;
 
     // The store's mark of the last change that is known here.
-    platform::store_mark const& mark() const;
+    platform::store_position const& mark() const;
 
     // It holds more than the store has shown since its return from a copy.
     bool is_ahead() const;
@@ -59,10 +59,10 @@
     // Another entry's view of this mark was confirmed until then. Counts only
     // if all of it is known here and nothing of a later era is.
     void
-    confirm_by_peer(platform::store_mark const& mark, base::boot_time until);
+    confirm_by_peer(platform::store_position const& mark, base::boot_time until);
 
     // What changed since the mark, as another entry takes it.
-    std::string page_for(platform::store_mark const& known) const;
+    std::string page_for(platform::store_position const& known) const;
 
     // Takes such a page, asked for at that moment; false when it is none.
     bool take_page(std::string const& bytes, base::boot_time asked);
--- a/libs/gateway/include/gateway/view_relay.hpp
+++ b/libs/gateway/include/gateway/view_relay.hpp
@@ -107,7 +107,7 @@
     void note_followed(std::uint32_t kind, base::boot_time asked_at);
     // A page as it is sent: for how many milliseconds it was kept, and itself.
     std::string
-    page_text(view_feed const& feed, platform::store_mark const& after);
+    page_text(view_feed const& feed, platform::store_position const& after);
     void take_page(
         std::uint32_t kind,
         page_use use,
@@ -118,8 +118,8 @@
     // The last page made of a kind of objects.
     struct kept_page
     {
-        platform::store_mark after;
-        platform::store_mark mark;
+        platform::store_position after;
+        platform::store_position mark;
         base::boot_time made;
         std::string bytes;
     };
--- a/libs/gateway/src/entry_views.cpp
+++ b/libs/gateway/src/entry_views.cpp
@@ -115,7 +115,7 @@
     };
     handlers.on_return =
         [self = this->shared_from_this(), kind](
-            platform::store_mark const& before, platform::store_mark const& now)
+            platform::store_position const& before, platform::store_position const& now)
     {
         self->note_return(kind, before, now);
     };
@@ -125,8 +125,8 @@
 
 void entry_views::note_return(
     platform::object_kind kind,
-    platform::store_mark const& before,
-    platform::store_mark const& now)
+    platform::store_position const& before,
+    platform::store_position const& now)
 {
     direct::note_return(this->context->book, clock::now());
     this->context->counters.count(
--- a/libs/gateway/src/kept_view.cpp
+++ b/libs/gateway/src/kept_view.cpp
@@ -17,7 +17,7 @@
 // The store says when an object last changed. What it does not say counts as
 // changed just now, so that nobody misses it.
 std::uint64_t revision_of(
-    platform::store_object const& object, platform::store_mark const& mark)
+    platform::store_object const& object, platform::store_position const& mark)
 {
     return object.revision == 0 ? mark.revision : object.revision;
 }
@@ -25,7 +25,7 @@
 void note_removed(
     kept_view& state,
     platform::store_object object,
-    platform::store_mark const& mark,
+    platform::store_position const& mark,
     base::boot_time now)
 {
     object.removed = true;
@@ -48,7 +48,7 @@
     state.removed.erase(oldest);
 }
 
-void note_gap(kept_view& state, platform::store_mark const& mark)
+void note_gap(kept_view& state, platform::store_position const& mark)
 {
     state.gaps.emplace_back(state.mark.revision, mark.revision);
     if (state.gaps.size() > most_gaps)
@@ -73,7 +73,7 @@
 void keep_ahead(
     kept_view& state,
     std::map<std::string, kept_object>& listed,
-    platform::store_mark const& mark)
+    platform::store_position const& mark)
 {
     state.ahead.clear();
     for (auto& [name, kept] : state.objects)
@@ -115,7 +115,7 @@
 void put_list(
     kept_view& state,
     std::vector<platform::store_object> const& objects,
-    platform::store_mark const& mark,
+    platform::store_position const& mark,
     base::boot_time now)
 {
     std::map<std::string, kept_object> listed;
@@ -171,7 +171,7 @@
 void put_change(
     kept_view& state,
     platform::store_object const& object,
-    platform::store_mark const& mark,
+    platform::store_position const& mark,
     base::boot_time now)
 {
     state.mark = std::max(state.mark, mark);
@@ -211,7 +211,7 @@
     state.confirmed = std::max(state.confirmed.value_or(until), until);
 }
 
-view_page page_after(kept_view const& state, platform::store_mark const& known)
+view_page page_after(kept_view const& state, platform::store_position const& known)
 {
     view_page page;
     page.whole = known.era != state.mark.era || known.revision == 0 ||
--- a/libs/gateway/src/store_watch.cpp
+++ b/libs/gateway/src/store_watch.cpp
@@ -56,7 +56,7 @@
     }
 }
 
-platform::store_mark const& store_watch::mark_read() const
+platform::store_position const& store_watch::mark_read() const
 {
     return this->mark;
 }
--- a/libs/gateway/src/view_feed.cpp
+++ b/libs/gateway/src/view_feed.cpp
@@ -55,7 +55,7 @@
     return this->settings.kind;
 }
 
-platform::store_mark const& view_feed::mark() const
+platform::store_position const& view_feed::mark() const
 {
     return this->view.mark;
 }
@@ -126,7 +126,7 @@
 }
 
 void view_feed::confirm_by_peer(
-    platform::store_mark const& mark, base::boot_time until)
+    platform::store_position const& mark, base::boot_time until)
 {
     if (this->view.mark.era != mark.era || this->view.mark < mark)
     {
@@ -136,7 +136,7 @@
     this->handlers.on_confirmed(*this->view.confirmed);
 }
 
-std::string view_feed::page_for(platform::store_mark const& known) const
+std::string view_feed::page_for(platform::store_position const& known) const
 {
     auto const now = base::boot_now();
     wire::ViewPage page;
@@ -167,7 +167,7 @@
     {
         return false;
     }
-    platform::store_mark const mark{page.era(), page.revision()};
+    platform::store_position const mark{page.era(), page.revision()};
     if (mark.era > this->view.mark.era && !page.whole())
     {
         return false;
@@ -213,7 +213,7 @@
         objects.push_back(read_object(sent, now - asked));
     }
     auto const lost = page.was_lost();
-    platform::store_mark const mark{page.era(), page.revision()};
+    platform::store_position const mark{page.era(), page.revision()};
     if (this->view.mark.era != 0 && mark.era > this->view.mark.era &&
         this->handlers.on_return)
     {
--- a/libs/gateway/src/view_relay.cpp
+++ b/libs/gateway/src/view_relay.cpp
@@ -81,7 +81,7 @@
     return number;
 }
 
-platform::store_mark mark_of(wire::ViewMark const& told)
+platform::store_position mark_of(wire::ViewMark const& told)
 {
     return {told.era(), told.revision()};
 }
@@ -98,7 +98,7 @@
 }
 
 // A page's path: the kind, the era and the revision that the asker knows.
-std::string page_target(std::uint32_t kind, platform::store_mark const& known)
+std::string page_target(std::uint32_t kind, platform::store_position const& known)
 {
     return std::string(page_root) + std::to_string(kind) + "/" +
            std::to_string(known.era) + "/" + std::to_string(known.revision);
@@ -107,7 +107,7 @@
 struct asked_page
 {
     std::uint32_t kind = 0;
-    platform::store_mark known;
+    platform::store_position known;
 };
 
 std::optional<asked_page> read_target(std::string_view target)
@@ -608,7 +608,7 @@
         .method = "GET",
         .target = page_target(
             kind,
-            use == page_use::ahead ? platform::store_mark() : feed.mark()),
+            use == page_use::ahead ? platform::store_position() : feed.mark()),
         .fields = {{"Host", "entry"}},
         .body = {}};
     auto const began = base::boot_now();
@@ -658,7 +658,7 @@
 }
 
 std::string
-view_relay::page_text(view_feed const& feed, platform::store_mark const& after)
+view_relay::page_text(view_feed const& feed, platform::store_position const& after)
 {
     auto const now = base::boot_now();
     auto& kept = this->pages[static_cast<std::uint32_t>(feed.kind())];
@@ -684,7 +684,7 @@
         // the store.
         auto const may_answer =
             this->duty.watching ||
-            (wanted && wanted->known == platform::store_mark());
+            (wanted && wanted->known == platform::store_position());
         if (feed == nullptr || !may_answer)
         {
             session->respond(404, {}, {});
--- a/libs/gateway/tests/kept_view_tests.cpp
+++ b/libs/gateway/tests/kept_view_tests.cpp
@@ -27,7 +27,7 @@
     return {std::move(name), 0, {}, true, false};
 }
 
-platform::store_mark at(std::uint64_t revision)
+platform::store_position at(std::uint64_t revision)
 {
     return {1, revision};
 }
@@ -269,7 +269,7 @@
 {
     auto view = listed();
     put_list(view, {object("a", "1")}, {2, 5}, start);
-    for (auto const& known : {at(10), at(4), platform::store_mark{3, 5}})
+    for (auto const& known : {at(10), at(4), platform::store_position{3, 5}})
     {
         EXPECT_TRUE(page_after(view, known).whole);
     }
