--- a/libs/gateway/src/call.cpp
+++ b/libs/gateway/src/call.cpp
@@ -114,7 +114,7 @@
         this->context->counters.observe("foxtailvale_view_age_ms", age);
     }
     routing::view_limits limits;
-    auto const bound = this->context->settings.promised.key_withdrawal;
+    auto const bound = this->context->settings.promised.key_revocation;
     limits.for_keys = bound - stale_margin;
     limits.for_denials = limits.for_keys;
     auto const permitted = routing::permit(
--- a/libs/gateway/src/entry.cpp
+++ b/libs/gateway/src/entry.cpp
@@ -139,7 +139,7 @@
     }
     // With an older view callers with keys are refused here, while others
     // may serve them.
-    auto const bound = state.settings.promised.key_withdrawal;
+    auto const bound = state.settings.promised.key_revocation;
     return base::boot_now() - *state.confirmed < bound - bound / 4;
 }
 
