--- a/libs/gateway/src/entry.cpp
+++ b/libs/gateway/src/entry.cpp
@@ -147,7 +147,7 @@
 {
     auto const& settings = this->context->settings;
     auto const callers = net::parse_endpoint(settings.caller_address);
-    auto const balancer = net::parse_endpoint(settings.ready_address);
+    auto const balancer = net::parse_endpoint(settings.readiness_address);
     if (!callers || !balancer)
     {
         return "the settings name no addresses for callers";
--- a/libs/gateway/src/entry_process.cpp
+++ b/libs/gateway/src/entry_process.cpp
@@ -19,7 +19,7 @@
         settings_path,
         [](platform::settings const& read) -> std::optional<std::string>
         {
-            if (read.caller_address.empty() || read.ready_address.empty())
+            if (read.caller_address.empty() || read.readiness_address.empty())
             {
                 return "the settings name no addresses for callers";
             }
