--- a/libs/gateway/src/agent_context.hpp
+++ b/libs/gateway/src/agent_context.hpp
@@ -60,7 +60,7 @@
     // Agents beside engines of the same service, by failure domain.
     weights::plan_set fleet;
     // When they were last listed.
-    base::time_point fleet_listed;
+    base::time_point fleet_listed_at;
 
     // Agents whose engine serves a version whole, by version and domain.
     std::map<
--- a/libs/gateway/src/fleet_lists.cpp
+++ b/libs/gateway/src/fleet_lists.cpp
@@ -230,7 +230,7 @@
     }
     agents[state.settings.failure_domain].insert(state.settings.ip);
     state.fleet.clear();
-    state.fleet_listed = clock::now();
+    state.fleet_listed_at = clock::now();
     for (auto const& [domain, addresses] : agents)
     {
         auto& plan = state.fleet[domain];
--- a/libs/gateway/src/version_fetch.cpp
+++ b/libs/gateway/src/version_fetch.cpp
@@ -82,7 +82,7 @@
     // Failures: all machines lose power, and every agent asks the origin before
     // the list of the others has come; agents listed the others at different
     // times long ago and do not agree on who draws what.
-    auto const is_listed = state.fleet_listed + list_memory > begun;
+    auto const is_listed = state.fleet_listed_at + list_memory > begun;
     if (!is_listed && clock::now() < begun + list_patience)
     {
         return std::nullopt;
