--- a/libs/gateway/src/call_attempt.cpp
+++ b/libs/gateway/src/call_attempt.cpp
@@ -232,7 +232,7 @@
         (!now_running.is_stream || now_running.events.rest.empty());
     auto const facts = now_running.facts;
     auto const ran = direct::judge_run(facts);
-    if (direct::is_answer(facts) && !is_promise(facts.status))
+    if (direct::is_answer(facts) && !promises_not_run(facts.status))
     {
         this->answer();
         return;
@@ -277,7 +277,7 @@
     direct::note_cut(
         this->context->book, this->current->endpoint, this->print,
         clock::now());
-    try_reach(
+    probe_connection(
         this->context->loop, this->current->address,
         [shared = this->context,
          endpoint = this->current->endpoint](bool reached)
--- a/libs/gateway/src/entry.cpp
+++ b/libs/gateway/src/entry.cpp
@@ -139,7 +139,7 @@
     }
     // With an older view callers with keys are refused here, while others
     // may serve them.
-    auto const bound = state.settings.promised.key_withdrawal;
+    auto const bound = state.settings.promised.key_revocation;
     return base::boot_now() - *state.confirmed < bound - bound / 4;
 }
 
@@ -147,7 +147,7 @@
 {
     auto const& settings = this->context->settings;
     auto const callers = net::parse_endpoint(settings.caller_address);
-    auto const balancer = net::parse_endpoint(settings.ready_address);
+    auto const balancer = net::parse_endpoint(settings.readiness_address);
     if (!callers || !balancer)
     {
         return "the settings name no addresses for callers";
