--- a/fuzz/src/core_targets.cpp
+++ b/fuzz/src/core_targets.cpp
@@ -183,7 +183,7 @@
     {
         auto const caller = this->choose.below(this->last_caller + 1);
         this->watches[caller].ended = true;
-        this->step(entry_core::caller_left{caller});
+        this->step(entry_core::caller_disconnected{caller});
     }
 
     void step(entry_core::event const& event)
--- a/libs/entry_core/include/entry_core/events.hpp
+++ b/libs/entry_core/include/entry_core/events.hpp
@@ -43,7 +43,7 @@
 };
 
 // The caller hung up.
-struct caller_left
+struct caller_disconnected
 {
     caller_handle caller = 0;
 };
@@ -61,7 +61,7 @@
     core::stop_requested,
     core::platform_answer,
     caller_request,
-    caller_left,
+    caller_disconnected,
     release_suspect>;
 
 // A piece of the answer for a caller, or its end.
--- a/libs/entry_core/src/entry_core.cpp
+++ b/libs/entry_core/src/entry_core.cpp
@@ -113,7 +113,7 @@
         on_caller_request(this->core, event, this->now, this->out);
     }
 
-    void operator()(caller_left const& event)
+    void operator()(caller_disconnected const& event)
     {
         on_caller_left(this->core, event, this->now, this->out);
     }
--- a/libs/entry_core/tests/request_world.cpp
+++ b/libs/entry_core/tests/request_world.cpp
@@ -423,7 +423,7 @@
         {
             return item.second;
         });
-    this->step_entry(entry, entry_core::caller_left{caller->first});
+    this->step_entry(entry, entry_core::caller_disconnected{caller->first});
 }
 
 void request_world::run_for(milliseconds length)
--- a/libs/node/src/caller_server.cpp
+++ b/libs/node/src/caller_server.cpp
@@ -366,7 +366,7 @@
         this->loop.post(
             [this, caller]
             {
-                this->receiver(entry_core::caller_left{caller});
+                this->receiver(entry_core::caller_disconnected{caller});
             });
     }
 }
@@ -389,7 +389,7 @@
         this->loop.post(
             [this, caller]
             {
-                this->receiver(entry_core::caller_left{caller});
+                this->receiver(entry_core::caller_disconnected{caller});
             });
     }
 }
