--- a/libs/direct/include/direct/endpoint_book.hpp
+++ b/libs/direct/include/direct/endpoint_book.hpp
@@ -187,7 +187,7 @@
     base::time_point as_of);
 
 // Takes a version in if it is newer than those known; false when it is not.
-bool name_version(
+bool announce_version(
     endpoint_book& book, std::string const& model, named_version const& named);
 
 // The machine was suspended for that long. Failure: the steady clock stands
--- a/libs/direct/src/endpoint_book.cpp
+++ b/libs/direct/src/endpoint_book.cpp
@@ -243,7 +243,7 @@
     }
 }
 
-bool name_version(
+bool announce_version(
     endpoint_book& book, std::string const& model, named_version const& named)
 {
     auto& known = book.versions[model];
--- a/libs/direct/tests/endpoint_book_tests.cpp
+++ b/libs/direct/tests/endpoint_book_tests.cpp
@@ -122,9 +122,9 @@
 TEST(versions, an_older_one_is_allowed_until_its_time)
 {
     endpoint_book book;
-    name_version(book, "m", {2, start, start + seconds(7)});
-    name_version(book, "m", {3, start, start + seconds(11)});
-    EXPECT_FALSE(name_version(book, "m", {2, start, start}));
+    announce_version(book, "m", {2, start, start + seconds(7)});
+    announce_version(book, "m", {3, start, start + seconds(11)});
+    EXPECT_FALSE(announce_version(book, "m", {2, start, start}));
     auto const oldest_allowed = [&book](char const* model, seconds passed)
     {
         std::uint64_t version = 0;
@@ -146,8 +146,8 @@
     endpoint_book book;
     EXPECT_FALSE(use_ends(book, "m", 1));
     EXPECT_FALSE(succeeded_at(book, "m", 1));
-    name_version(book, "m", {2, start, start + seconds(7)});
-    name_version(book, "m", {3, start + seconds(4), start + seconds(11)});
+    announce_version(book, "m", {2, start, start + seconds(7)});
+    announce_version(book, "m", {3, start + seconds(4), start + seconds(11)});
     EXPECT_EQ(use_ends(book, "m", 1), start + seconds(7));
     EXPECT_EQ(use_ends(book, "m", 2), start + seconds(11));
     EXPECT_FALSE(use_ends(book, "m", 3));
@@ -162,8 +162,8 @@
 TEST(versions, the_use_of_one_ends_when_it_is_no_longer_allowed)
 {
     endpoint_book book;
-    name_version(book, "m", {2, start, start + seconds(9)});
-    name_version(book, "m", {3, start, start + seconds(8)});
+    announce_version(book, "m", {2, start, start + seconds(9)});
+    announce_version(book, "m", {3, start, start + seconds(8)});
     EXPECT_EQ(use_ends(book, "m", 1), start + seconds(8));
     EXPECT_EQ(use_ends(book, "m", 2), start + seconds(8));
     EXPECT_FALSE(use_ends(book, "m", 3));
--- a/libs/direct/tests/engine_world.cpp
+++ b/libs/direct/tests/engine_world.cpp
@@ -40,7 +40,7 @@
             learned,
             [&entry, index, learned]
             {
-                name_version(
+                announce_version(
                     entry.book, model_name,
                     {index + 2, learned,
                      learned + version_bound - version_margin});
--- a/libs/direct/tests/placement_tests.cpp
+++ b/libs/direct/tests/placement_tests.cpp
@@ -156,7 +156,7 @@
              left += milliseconds(50))
         {
             auto book = engines(1);
-            name_version(book, "m", {2, start, ends});
+            announce_version(book, "m", {2, start, ends});
             auto const now = ends - left;
             report(book, "10.0.0.0", 0, now);
             auto ask = ask_from("d0");
@@ -276,7 +276,7 @@
 TEST(placement, many_entries_stop_sooner_before_a_version_ends)
 {
     auto book = engines(1);
-    name_version(
+    announce_version(
         book, "m", {2, start - seconds(7), start + milliseconds(1000)});
     report(book, "10.0.0.0", 0);
     auto ask = ask_from("d0");
@@ -291,7 +291,7 @@
 TEST(placement, an_engine_on_a_version_past_its_time_gets_nothing)
 {
     auto book = engines(2);
-    name_version(book, "m", {2, start - seconds(9), start - seconds(1)});
+    announce_version(book, "m", {2, start - seconds(9), start - seconds(1)});
     base::random_state random{3};
     auto const none = choose(book, ask_from("d0"), start, random);
     EXPECT_EQ(none.chosen, nullptr);
@@ -308,7 +308,7 @@
 TEST(placement, a_suspend_counts_towards_the_end_of_an_older_version)
 {
     auto book = engines(1);
-    name_version(
+    announce_version(
         book, "m", {2, start - seconds(2), start + milliseconds(5600)});
     EXPECT_EQ(chosen_id(book, ask_from("d0")), "e0");
     note_suspended(book, seconds(5));
@@ -340,7 +340,7 @@
 {
     auto book = engines(1);
     auto const ends = start + milliseconds(1000);
-    name_version(book, "m", {2, start - seconds(7), ends});
+    announce_version(book, "m", {2, start - seconds(7), ends});
     report(book, "10.0.0.0", 4);
     EXPECT_EQ(chosen_id(book, ask_from("d0")), "e0");
     report(book, "10.0.0.0", 16);
@@ -361,7 +361,7 @@
     said.waiting = 3;
     said.weights = {"m", 1, true};
     note_report(book, "10.0.0.0", said, start);
-    name_version(book, "m", {2, start, start + seconds(7)});
+    announce_version(book, "m", {2, start, start + seconds(7)});
     begin_use(book, "e0", start + milliseconds(100));
     auto ask = ask_from("d0");
     ask.entries = 2;
@@ -415,7 +415,7 @@
     ask.expected = milliseconds(1500);
     base::random_state random{3};
     EXPECT_FALSE(choose(book, ask, start, random).works_until);
-    name_version(book, "m", {2, start - seconds(1), ends});
+    announce_version(book, "m", {2, start - seconds(1), ends});
     auto const at = [&](milliseconds left)
     {
         report(book, "10.0.0.0", 0, ends - left);
--- a/libs/gateway/include/gateway/agent.hpp
+++ b/libs/gateway/include/gateway/agent.hpp
@@ -55,7 +55,7 @@
     void watch_if_alone();
     void watch_versions();
     void end_watch();
-    void name_version(
+    void announce_version(
         std::string const& model,
         std::uint64_t version,
         std::chrono::steady_clock::time_point at);
--- a/libs/gateway/src/agent.cpp
+++ b/libs/gateway/src/agent.cpp
@@ -80,7 +80,7 @@
                                     std::string const& model,
                                     std::uint64_t version, base::time_point at)
     {
-        this->name_version(model, version, at);
+        this->announce_version(model, version, at);
     };
 }
 
@@ -258,7 +258,7 @@
         auto const read = platform::read_version(object.content);
         if (!object.removed && read)
         {
-            self->name_version(read->model, read->version, clock::now());
+            self->announce_version(read->model, read->version, clock::now());
         }
     };
     watch_settings chosen;
@@ -293,7 +293,7 @@
     this->versions_watch->start();
 }
 
-void agent_process::name_version(
+void agent_process::announce_version(
     std::string const& model, std::uint64_t version, base::time_point at)
 {
     if (!note_named(*this->context, model, {version, at}))
--- a/libs/gateway/src/entry_views.cpp
+++ b/libs/gateway/src/entry_views.cpp
@@ -363,7 +363,7 @@
     }
     auto const bound = this->context->settings.promised.version;
     auto const learned = clock::now() - (base::boot_now() - accepted);
-    auto const is_new = direct::name_version(
+    auto const is_new = direct::announce_version(
         this->context->book, read->model,
         {read->version, learned, learned + bound - version_margin});
     if (!is_new)
