--- a/libs/direct/include/direct/endpoint_book.hpp
+++ b/libs/direct/include/direct/endpoint_book.hpp
@@ -197,7 +197,7 @@
 
 // When this version of the model stops to begin requests, as far as newer ones
 // are known; nothing for the newest.
-std::optional<base::time_point> use_ends(
+std::optional<base::time_point> version_retires_at(
     endpoint_book const& book, std::string const& model, std::uint64_t version);
 
 // When the first version newer than this one was named; nothing for the newest.
--- a/libs/direct/src/endpoint_book.cpp
+++ b/libs/direct/src/endpoint_book.cpp
@@ -267,7 +267,7 @@
     }
 }
 
-std::optional<base::time_point> use_ends(
+std::optional<base::time_point> version_retires_at(
     endpoint_book const& book, std::string const& model, std::uint64_t version)
 {
     return earliest_of_newer(book, model, version, &named_version::older_until);
--- a/libs/direct/src/placement.cpp
+++ b/libs/direct/src/placement.cpp
@@ -150,7 +150,7 @@
     {
         return false;
     }
-    auto const ends = use_ends(book, ask.model, weights.version);
+    auto const ends = version_retires_at(book, ask.model, weights.version);
     return !ends || may_go_before(*ends, book, state, ask, now);
 }
 
@@ -313,7 +313,7 @@
     }
     if (!ask.model.empty())
     {
-        found.ends = use_ends(book, ask.model, weights_of(state, now).version);
+        found.ends = version_retires_at(book, ask.model, weights_of(state, now).version);
     }
     return found;
 }
@@ -413,7 +413,7 @@
 {
     // Time for the endpoint to say that it did not run what its deadline ended.
     constexpr std::chrono::milliseconds answer_time{100};
-    auto const ends = use_ends(book, model, version);
+    auto const ends = version_retires_at(book, model, version);
     if (!ends)
     {
         return std::nullopt;
--- a/libs/direct/tests/endpoint_book_tests.cpp
+++ b/libs/direct/tests/endpoint_book_tests.cpp
@@ -128,8 +128,8 @@
     auto const oldest_allowed = [&book](char const* model, seconds passed)
     {
         std::uint64_t version = 0;
-        while (use_ends(book, model, version) &&
-               *use_ends(book, model, version) <= start + passed)
+        while (version_retires_at(book, model, version) &&
+               *version_retires_at(book, model, version) <= start + passed)
         {
             ++version;
         }
@@ -144,17 +144,17 @@
 TEST(versions, the_use_of_one_ends_with_the_first_newer_one)
 {
     endpoint_book book;
-    EXPECT_FALSE(use_ends(book, "m", 1));
+    EXPECT_FALSE(version_retires_at(book, "m", 1));
     EXPECT_FALSE(succeeded_at(book, "m", 1));
     announce_version(book, "m", {2, start, start + seconds(7)});
     announce_version(book, "m", {3, start + seconds(4), start + seconds(11)});
-    EXPECT_EQ(use_ends(book, "m", 1), start + seconds(7));
-    EXPECT_EQ(use_ends(book, "m", 2), start + seconds(11));
-    EXPECT_FALSE(use_ends(book, "m", 3));
+    EXPECT_EQ(version_retires_at(book, "m", 1), start + seconds(7));
+    EXPECT_EQ(version_retires_at(book, "m", 2), start + seconds(11));
+    EXPECT_FALSE(version_retires_at(book, "m", 3));
     EXPECT_EQ(succeeded_at(book, "m", 1), start);
     EXPECT_EQ(succeeded_at(book, "m", 2), start + seconds(4));
     EXPECT_FALSE(succeeded_at(book, "m", 3));
-    EXPECT_FALSE(use_ends(book, "other", 1));
+    EXPECT_FALSE(version_retires_at(book, "other", 1));
 }
 
 // An entry that hears of versions in a row from others that knew them longer
@@ -164,9 +164,9 @@
     endpoint_book book;
     announce_version(book, "m", {2, start, start + seconds(9)});
     announce_version(book, "m", {3, start, start + seconds(8)});
-    EXPECT_EQ(use_ends(book, "m", 1), start + seconds(8));
-    EXPECT_EQ(use_ends(book, "m", 2), start + seconds(8));
-    EXPECT_FALSE(use_ends(book, "m", 3));
+    EXPECT_EQ(version_retires_at(book, "m", 1), start + seconds(8));
+    EXPECT_EQ(version_retires_at(book, "m", 2), start + seconds(8));
+    EXPECT_FALSE(version_retires_at(book, "m", 3));
 }
 
 TEST(use, an_endpoint_that_cannot_be_reached_is_left_alone_longer_each_time)
--- a/libs/gateway/src/call_sight.cpp
+++ b/libs/gateway/src/call_sight.cpp
@@ -85,7 +85,7 @@
         std::max(milliseconds(0), in_ms(now - seen.expected.begins)));
     auto const& book = this->context->book;
     if (auto const ends =
-            direct::use_ends(book, this->said.model, this->version))
+            direct::version_retires_at(book, this->said.model, this->version))
     {
         seen.before_end = *ends - now;
     }
