--- a/libs/direct/include/direct/endpoint_book.hpp
+++ b/libs/direct/include/direct/endpoint_book.hpp
@@ -201,7 +201,7 @@
     endpoint_book const& book, std::string const& model, std::uint64_t version);
 
 // When the first version newer than this one was named; nothing for the newest.
-std::optional<base::time_point> succeeded_at(
+std::optional<base::time_point> superseded_at(
     endpoint_book const& book, std::string const& model, std::uint64_t version);
 
 // How an own request at an endpoint ended, as far as the endpoint is judged.
--- a/libs/direct/src/endpoint_book.cpp
+++ b/libs/direct/src/endpoint_book.cpp
@@ -273,7 +273,7 @@
     return earliest_of_newer(book, model, version, &named_version::older_until);
 }
 
-std::optional<base::time_point> succeeded_at(
+std::optional<base::time_point> superseded_at(
     endpoint_book const& book, std::string const& model, std::uint64_t version)
 {
     return earliest_of_newer(book, model, version, &named_version::learned);
--- a/libs/direct/src/placement.cpp
+++ b/libs/direct/src/placement.cpp
@@ -97,7 +97,7 @@
     std::uint64_t version,
     base::time_point ends)
 {
-    auto const named = succeeded_at(book, ask.model, version);
+    auto const named = superseded_at(book, ask.model, version);
     return named && *named + ask.expected >= ends;
 }
 
--- a/libs/direct/tests/endpoint_book_tests.cpp
+++ b/libs/direct/tests/endpoint_book_tests.cpp
@@ -145,15 +145,15 @@
 {
     endpoint_book book;
     EXPECT_FALSE(version_retires_at(book, "m", 1));
-    EXPECT_FALSE(succeeded_at(book, "m", 1));
+    EXPECT_FALSE(superseded_at(book, "m", 1));
     announce_version(book, "m", {2, start, start + seconds(7)});
     announce_version(book, "m", {3, start + seconds(4), start + seconds(11)});
     EXPECT_EQ(version_retires_at(book, "m", 1), start + seconds(7));
     EXPECT_EQ(version_retires_at(book, "m", 2), start + seconds(11));
     EXPECT_FALSE(version_retires_at(book, "m", 3));
-    EXPECT_EQ(succeeded_at(book, "m", 1), start);
-    EXPECT_EQ(succeeded_at(book, "m", 2), start + seconds(4));
-    EXPECT_FALSE(succeeded_at(book, "m", 3));
+    EXPECT_EQ(superseded_at(book, "m", 1), start);
+    EXPECT_EQ(superseded_at(book, "m", 2), start + seconds(4));
+    EXPECT_FALSE(superseded_at(book, "m", 3));
     EXPECT_FALSE(version_retires_at(book, "other", 1));
 }
 
--- a/libs/gateway/src/call_sight.cpp
+++ b/libs/gateway/src/call_sight.cpp
@@ -90,7 +90,7 @@
         seen.before_end = *ends - now;
     }
     if (auto const succeeded =
-            direct::succeeded_at(book, this->said.model, this->version))
+            direct::superseded_at(book, this->said.model, this->version))
     {
         auto const bound = this->context->settings.promised.version;
         note_left(
