--- a/libs/direct/include/direct/endpoint_book.hpp
+++ b/libs/direct/include/direct/endpoint_book.hpp
@@ -205,7 +205,7 @@
     endpoint_book const& book, std::string const& model, std::uint64_t version);
 
 // How an own request at an endpoint ended, as far as the endpoint is judged.
-enum class use_end
+enum class request_outcome
 {
     answered,
     // It said that it did not run it: full.
@@ -226,7 +226,7 @@
 void end_use(
     endpoint_book& book,
     std::string const& id,
-    use_end how,
+    request_outcome how,
     base::time_point now);
 
 // The answer to a request was cut before it began: the request may have crashed
--- a/libs/direct/src/endpoint_book.cpp
+++ b/libs/direct/src/endpoint_book.cpp
@@ -303,7 +303,7 @@
 void end_use(
     endpoint_book& book,
     std::string const& id,
-    use_end how,
+    request_outcome how,
     base::time_point now)
 {
     auto const found = book.endpoints.find(id);
@@ -314,23 +314,23 @@
     auto& state = found->second;
     state.own_running -= std::min<std::uint32_t>(1, state.own_running);
     --state.own_change;
-    if (how == use_end::answered || how == use_end::faulty)
+    if (how == request_outcome::answered || how == request_outcome::faulty)
     {
-        note_answer(state, how == use_end::faulty, now);
+        note_answer(state, how == request_outcome::faulty, now);
     }
-    if (how == use_end::answered)
+    if (how == request_outcome::answered)
     {
         state.connect_faults = 0;
     }
-    if (how == use_end::declined)
+    if (how == request_outcome::declined)
     {
         state.avoid_until = now + full_avoidance;
     }
-    if (how == use_end::misdirected)
+    if (how == request_outcome::misdirected)
     {
         state.avoid_until = now + misdirected_avoidance;
     }
-    if (how == use_end::not_connected)
+    if (how == request_outcome::not_connected)
     {
         auto const doublings = std::min<std::uint32_t>(state.connect_faults, 3);
         state.avoid_until =
--- a/libs/direct/tests/placement_tests.cpp
+++ b/libs/direct/tests/placement_tests.cpp
@@ -504,7 +504,7 @@
         ++counts[id];
         begin_use(book, id, now);
         auto const faulty = id == "e0" && base::random_below(random, 10) < 4;
-        end_use(book, id, faulty ? use_end::faulty : use_end::answered, now);
+        end_use(book, id, faulty ? request_outcome::faulty : request_outcome::answered, now);
     }
     EXPECT_LT(counts["e0"], counts["e2"] / 2);
 }
--- a/libs/direct/tests/played_answers.cpp
+++ b/libs/direct/tests/played_answers.cpp
@@ -88,19 +88,19 @@
         asked.last_heard = state.now;
         return;
     case engine_word::answered:
-        end_attempt(state, asked, use_end::answered);
+        end_attempt(state, asked, request_outcome::answered);
         end_request(state, sent.caller, final_word::answered);
         return;
     case engine_word::declined:
-        end_attempt(state, asked, use_end::declined);
+        end_attempt(state, asked, request_outcome::declined);
         after_failure(state, asked, base::ran_state::no);
         return;
     case engine_word::misdirected:
-        end_attempt(state, asked, use_end::misdirected);
+        end_attempt(state, asked, request_outcome::misdirected);
         after_failure(state, asked, base::ran_state::no);
         return;
     case engine_word::stopped:
-        end_attempt(state, asked, use_end::faulty);
+        end_attempt(state, asked, request_outcome::faulty);
         after_failure(state, asked, base::ran_state::yes);
         return;
     }
--- a/libs/direct/tests/played_callers.cpp
+++ b/libs/direct/tests/played_callers.cpp
@@ -116,7 +116,7 @@
 {
     if (asked.engine)
     {
-        end_attempt(state, asked, use_end::cancelled);
+        end_attempt(state, asked, request_outcome::cancelled);
     }
     for (auto const attempt : asked.sent)
     {
--- a/libs/direct/tests/played_entries.cpp
+++ b/libs/direct/tests/played_entries.cpp
@@ -96,7 +96,7 @@
     auto const left = time_handed_on(asked, state.now);
     if (left <= base::duration::zero())
     {
-        end_attempt(state, asked, use_end::cancelled);
+        end_attempt(state, asked, request_outcome::cancelled);
         after_failure(state, asked, base::ran_state::no);
         return;
     }
@@ -236,7 +236,7 @@
     {
         auto const silent = state.now - asked.last_byte > stall_time;
         end_attempt(
-            state, asked, silent ? use_end::faulty : use_end::cancelled);
+            state, asked, silent ? request_outcome::faulty : request_outcome::cancelled);
         after_failure(state, asked, ran);
         return;
     }
@@ -245,7 +245,7 @@
     {
         end_attempt(
             state, asked,
-            asked.written ? use_end::faulty : use_end::not_connected);
+            asked.written ? request_outcome::faulty : request_outcome::not_connected);
         after_failure(state, asked, ran);
         return;
     }
@@ -254,20 +254,20 @@
         asked.handed);
     if (asked.events == 0 && begins_by && state.now >= *begins_by)
     {
-        end_attempt(state, asked, use_end::cancelled);
+        end_attempt(state, asked, request_outcome::cancelled);
         after_failure(state, asked, ran);
     }
 }
 
 } // namespace
 
-void end_attempt(world& state, caller_request& asked, use_end how)
+void end_attempt(world& state, caller_request& asked, request_outcome how)
 {
     auto& entry = state.entries[asked.entry];
     auto const engine = *std::exchange(asked.engine, std::nullopt);
     end_use(entry.book, id_of_engine(engine), how, state.now);
     auto const attempt = std::exchange(asked.attempt, 0);
-    auto const closes = how == use_end::faulty || how == use_end::cancelled;
+    auto const closes = how == request_outcome::faulty || how == request_outcome::cancelled;
     if (closes && !state.course.ignores_close)
     {
         reach(
--- a/libs/direct/tests/played_entries.hpp
+++ b/libs/direct/tests/played_entries.hpp
@@ -12,7 +12,7 @@
 {
 
 // The attempt under way is over, in this way.
-void end_attempt(world& state, caller_request& asked, use_end how);
+void end_attempt(world& state, caller_request& asked, request_outcome how);
 
 // What becomes of a request whose attempt failed: another one, or the end.
 void after_failure(world& state, caller_request& asked, base::ran_state ran);
--- a/libs/gateway/src/call.cpp
+++ b/libs/gateway/src/call.cpp
@@ -338,7 +338,7 @@
         // still came do not.
         auto const silent = now - this->current->last_byte > direct::stall_time;
         this->end_attempt(
-            silent ? direct::use_end::faulty : direct::use_end::cancelled);
+            silent ? direct::request_outcome::faulty : direct::request_outcome::cancelled);
         this->after_failure(ran, "time is up");
         return;
     }
@@ -347,15 +347,15 @@
     {
         auto const ran = connected ? ran_state::unknown : ran_state::no;
         this->end_attempt(
-            connected ? direct::use_end::faulty
-                      : direct::use_end::not_connected);
+            connected ? direct::request_outcome::faulty
+                      : direct::request_outcome::not_connected);
         this->after_failure(ran, "endpoint is silent");
         return;
     }
     auto const begins_by = this->beginning_limit();
     if (begins_by && now >= *begins_by)
     {
-        this->end_attempt(direct::use_end::cancelled);
+        this->end_attempt(direct::request_outcome::cancelled);
         this->after_failure(
             connected ? ran_state::unknown : ran_state::no,
             "version ended before it began");
@@ -414,7 +414,7 @@
     this->leave_line();
     if (this->current)
     {
-        this->end_attempt(direct::use_end::cancelled);
+        this->end_attempt(direct::request_outcome::cancelled);
     }
     this->context->counters.count_error(error_kind::caller_gone);
     this->log(
--- a/libs/gateway/src/call_attempt.cpp
+++ b/libs/gateway/src/call_attempt.cpp
@@ -164,7 +164,7 @@
     now_running.body.append(data);
     if (now_running.body.size() > most_body_bytes)
     {
-        this->end_attempt(direct::use_end::faulty);
+        this->end_attempt(direct::request_outcome::faulty);
         this->after_failure(ran_state::yes, "answer is too large");
     }
 }
@@ -185,7 +185,7 @@
                 this->last_event ? *this->last_event + 1 : *event.id;
             if (*event.id != expected)
             {
-                this->end_attempt(direct::use_end::faulty);
+                this->end_attempt(direct::request_outcome::faulty);
                 this->after_failure(ran_state::yes, "events are missing");
                 return;
             }
@@ -241,9 +241,9 @@
     {
         auto const misdirected = now_running.said.misdirected;
         this->end_attempt(
-            ran != ran_state::no ? direct::use_end::faulty
-            : misdirected        ? direct::use_end::misdirected
-                                 : direct::use_end::declined);
+            ran != ran_state::no ? direct::request_outcome::faulty
+            : misdirected        ? direct::request_outcome::misdirected
+                                 : direct::request_outcome::declined);
         this->after_failure(
             ran, ran == ran_state::no ? "endpoint declined"
                                       : "answer is not the endpoint's");
@@ -251,19 +251,19 @@
     }
     if (result.end == net::exchange_end::withheld)
     {
-        this->end_attempt(direct::use_end::cancelled);
+        this->end_attempt(direct::request_outcome::cancelled);
         this->after_failure(ran_state::no, "time was up before it was written");
         return;
     }
     if (!result.written)
     {
         note_gone(*this->context, now_running.endpoint);
-        this->end_attempt(direct::use_end::not_connected);
+        this->end_attempt(direct::request_outcome::not_connected);
         this->after_failure(ran_state::no, "no connection");
         return;
     }
     this->note_cut();
-    this->end_attempt(direct::use_end::faulty);
+    this->end_attempt(direct::request_outcome::faulty);
     this->after_failure(ran, "answer was cut");
 }
 
@@ -289,7 +289,7 @@
         });
 }
 
-void call::end_attempt(direct::use_end how)
+void call::end_attempt(direct::request_outcome how)
 {
     auto const ended = std::move(*this->current);
     this->current.reset();
--- a/libs/gateway/src/call_end.cpp
+++ b/libs/gateway/src/call_end.cpp
@@ -56,7 +56,7 @@
         this->runs + 1 < this->allowed.chosen->most_attempts)
     {
         auto const failed = now_running;
-        this->end_attempt(direct::use_end::faulty);
+        this->end_attempt(direct::request_outcome::faulty);
         ++this->runs;
         this->ran_so_far = ran_state::yes;
         auto const spent =
@@ -92,7 +92,7 @@
     else if (this->answer_begun)
     {
         // A stream that began elsewhere cannot go on with another answer.
-        this->end_attempt(direct::use_end::answered);
+        this->end_attempt(direct::request_outcome::answered);
         this->cut("endpoint would not resume");
         return;
     }
@@ -109,7 +109,7 @@
         this->context->tell_crash(this->print, now_running.endpoint, true);
     }
     this->end_attempt(
-        status >= 500 ? direct::use_end::faulty : direct::use_end::answered);
+        status >= 500 ? direct::request_outcome::faulty : direct::request_outcome::answered);
     this->finish();
 }
 
