--- a/libs/direct/include/direct/endpoint_book.hpp
+++ b/libs/direct/include/direct/endpoint_book.hpp
@@ -221,7 +221,7 @@
     cancelled,
 };
 
-void begin_use(
+void note_request_begun(
     endpoint_book& book, std::string const& id, base::time_point now);
 void end_use(
     endpoint_book& book,
--- a/libs/direct/src/endpoint_book.cpp
+++ b/libs/direct/src/endpoint_book.cpp
@@ -279,7 +279,7 @@
     return earliest_of_newer(book, model, version, &named_version::learned);
 }
 
-void begin_use(endpoint_book& book, std::string const& id, base::time_point now)
+void note_request_begun(endpoint_book& book, std::string const& id, base::time_point now)
 {
     auto const found = book.endpoints.find(id);
     if (found == book.endpoints.end())
--- a/libs/direct/tests/endpoint_book_tests.cpp
+++ b/libs/direct/tests/endpoint_book_tests.cpp
@@ -89,7 +89,7 @@
     put(book, engine("a"));
     auto const came = start - milliseconds(150);
     note_passed_report(book, "10.0.0.1", {.running = 3}, came);
-    begin_use(book, "a", start);
+    note_request_begun(book, "a", start);
     auto const& state = book.endpoints.at("a");
     note_passed_report(
         book, "10.0.0.1", {.running = 3}, came + milliseconds(3));
@@ -174,11 +174,11 @@
     endpoint_book book;
     put(book, engine("a"));
     auto& state = book.endpoints.at("a");
-    begin_use(book, "a", start);
+    note_request_begun(book, "a", start);
     end_use(book, "a", request_outcome::not_connected, start);
     auto const first = state.avoid_until;
     EXPECT_GT(first, start);
-    begin_use(book, "a", first);
+    note_request_begun(book, "a", first);
     end_use(book, "a", request_outcome::not_connected, first);
     EXPECT_GT(state.avoid_until - first, first - start);
 }
@@ -190,7 +190,7 @@
     endpoint_book book;
     put(book, engine("a"));
     auto const& state = book.endpoints.at("a");
-    begin_use(book, "a", start);
+    note_request_begun(book, "a", start);
     end_use(book, "a", request_outcome::misdirected, start);
     EXPECT_GE(state.avoid_until, start + milliseconds(500));
     auto loaded = engine("a");
@@ -204,7 +204,7 @@
     endpoint_book book;
     put(book, engine("a"));
     auto const& state = book.endpoints.at("a");
-    begin_use(book, "a", start);
+    note_request_begun(book, "a", start);
     EXPECT_FALSE(is_stalled(state, start + milliseconds(400)));
     EXPECT_TRUE(is_stalled(state, start + milliseconds(600)));
     note_heard(book, "a", start + milliseconds(550));
--- a/libs/direct/tests/placement_tests.cpp
+++ b/libs/direct/tests/placement_tests.cpp
@@ -225,7 +225,7 @@
     ask.own_entry = "10.1.0.1";
     base::random_state random{1};
     ASSERT_NE(choose(book, ask, now, random).chosen, nullptr);
-    begin_use(book, "e0", now);
+    note_request_begun(book, "e0", now);
     EXPECT_EQ(choose(book, ask, now + milliseconds(1), random).chosen, nullptr);
     EXPECT_EQ(
         choose(book, ask, now + milliseconds(400), random).chosen, nullptr);
@@ -362,7 +362,7 @@
     said.weights = {"m", 1, true};
     note_report(book, "10.0.0.0", said, start);
     announce_version(book, "m", {2, start, start + seconds(7)});
-    begin_use(book, "e0", start + milliseconds(100));
+    note_request_begun(book, "e0", start + milliseconds(100));
     auto ask = ask_from("d0");
     ask.entries = 2;
     base::random_state random{3};
@@ -502,7 +502,7 @@
         auto const found = choose(book, ask_from("d0"), now, random);
         auto const id = found.chosen->listed.id;
         ++counts[id];
-        begin_use(book, id, now);
+        note_request_begun(book, id, now);
         auto const faulty = id == "e0" && base::random_below(random, 10) < 4;
         end_use(book, id, faulty ? request_outcome::faulty : request_outcome::answered, now);
     }
@@ -534,7 +534,7 @@
         {
             auto const found =
                 choose(books[entry], ask_from("d0"), start, seeds[entry]);
-            begin_use(books[entry], found.chosen->listed.id, start);
+            note_request_begun(books[entry], found.chosen->listed.id, start);
             ++running[found.chosen->listed.id];
         }
     }
@@ -566,7 +566,7 @@
             auto const found = choose(book, ask, start, random);
             if (found.chosen != nullptr)
             {
-                begin_use(book, found.chosen->listed.id, start);
+                note_request_begun(book, found.chosen->listed.id, start);
                 ++sent;
             }
         }
--- a/libs/direct/tests/played_entries.cpp
+++ b/libs/direct/tests/played_entries.cpp
@@ -150,7 +150,7 @@
                         : milliseconds(-1),
         state.now,
         {}};
-    begin_use(entry.book, endpoint.listed.id, state.now);
+    note_request_begun(entry.book, endpoint.listed.id, state.now);
     auto const late =
         state.course.one_late_write_in > 0 &&
         base::random_below(state.random, state.course.one_late_write_in) == 0;
--- a/libs/direct/tests/shares_tests.cpp
+++ b/libs/direct/tests/shares_tests.cpp
@@ -188,7 +188,7 @@
             base::random_state random{entry};
             while (choose(book, ask, start, random).chosen != nullptr)
             {
-                begin_use(book, "i-1", start);
+                note_request_begun(book, "i-1", start);
                 ++sent;
             }
         }
--- a/libs/gateway/src/call_attempt.cpp
+++ b/libs/gateway/src/call_attempt.cpp
@@ -63,7 +63,7 @@
     this->current->last_byte = now;
     this->current->handed_deadline =
         direct::handed_deadline(chosen, this->deadline);
-    direct::begin_use(this->context->book, target.id, now);
+    direct::note_request_begun(this->context->book, target.id, now);
     this->note_placed(chosen);
     auto const number = this->attempt_number;
     auto const self = this->shared_from_this();
