--- a/libs/direct/include/direct/endpoint_book.hpp
+++ b/libs/direct/include/direct/endpoint_book.hpp
@@ -223,7 +223,7 @@
 
 void note_request_begun(
     endpoint_book& book, std::string const& id, base::time_point now);
-void end_use(
+void note_request_ended(
     endpoint_book& book,
     std::string const& id,
     request_outcome how,
--- a/libs/direct/src/endpoint_book.cpp
+++ b/libs/direct/src/endpoint_book.cpp
@@ -300,7 +300,7 @@
     }
 }
 
-void end_use(
+void note_request_ended(
     endpoint_book& book,
     std::string const& id,
     request_outcome how,
--- a/libs/direct/tests/endpoint_book_tests.cpp
+++ b/libs/direct/tests/endpoint_book_tests.cpp
@@ -175,11 +175,11 @@
     put(book, engine("a"));
     auto& state = book.endpoints.at("a");
     note_request_begun(book, "a", start);
-    end_use(book, "a", request_outcome::not_connected, start);
+    note_request_ended(book, "a", request_outcome::not_connected, start);
     auto const first = state.avoid_until;
     EXPECT_GT(first, start);
     note_request_begun(book, "a", first);
-    end_use(book, "a", request_outcome::not_connected, first);
+    note_request_ended(book, "a", request_outcome::not_connected, first);
     EXPECT_GT(state.avoid_until - first, first - start);
 }
 
@@ -191,7 +191,7 @@
     put(book, engine("a"));
     auto const& state = book.endpoints.at("a");
     note_request_begun(book, "a", start);
-    end_use(book, "a", request_outcome::misdirected, start);
+    note_request_ended(book, "a", request_outcome::misdirected, start);
     EXPECT_GE(state.avoid_until, start + milliseconds(500));
     auto loaded = engine("a");
     loaded.weights.version = 2;
@@ -209,7 +209,7 @@
     EXPECT_TRUE(is_stalled(state, start + milliseconds(600)));
     note_heard(book, "a", start + milliseconds(550));
     EXPECT_FALSE(is_stalled(state, start + milliseconds(600)));
-    end_use(book, "a", request_outcome::answered, start + milliseconds(700));
+    note_request_ended(book, "a", request_outcome::answered, start + milliseconds(700));
     EXPECT_FALSE(is_stalled(state, start + seconds(60)));
 }
 
--- a/libs/direct/tests/played_entries.cpp
+++ b/libs/direct/tests/played_entries.cpp
@@ -265,7 +265,7 @@
 {
     auto& entry = state.entries[asked.entry];
     auto const engine = *std::exchange(asked.engine, std::nullopt);
-    end_use(entry.book, id_of_engine(engine), how, state.now);
+    note_request_ended(entry.book, id_of_engine(engine), how, state.now);
     auto const attempt = std::exchange(asked.attempt, 0);
     auto const closes = how == request_outcome::faulty || how == request_outcome::cancelled;
     if (closes && !state.course.ignores_close)
