--- a/libs/direct/include/direct/endpoint_book.hpp
+++ b/libs/direct/include/direct/endpoint_book.hpp
@@ -231,7 +231,7 @@
 
 // The answer to a request was cut before it began: the request may have crashed
 // the endpoint, or only its answer was lost.
-void note_cut(
+void note_lost_answer(
     endpoint_book& book,
     std::string const& id,
     std::uint64_t request,
--- a/libs/direct/src/endpoint_book.cpp
+++ b/libs/direct/src/endpoint_book.cpp
@@ -340,7 +340,7 @@
     }
 }
 
-void note_cut(
+void note_lost_answer(
     endpoint_book& book,
     std::string const& id,
     std::uint64_t request,
--- a/libs/gateway/src/call.hpp
+++ b/libs/gateway/src/call.hpp
@@ -113,7 +113,7 @@
     void on_end(std::uint64_t number, net::exchange_result const& result);
     bool is_current(std::uint64_t number) const;
     void end_attempt(direct::request_outcome how);
-    void note_cut();
+    void note_lost_answer();
     void after_failure(base::ran_state ran, char const* reason);
     void answer();
     void begin_answer();
--- a/libs/gateway/src/call_attempt.cpp
+++ b/libs/gateway/src/call_attempt.cpp
@@ -262,19 +262,19 @@
         this->after_failure(ran_state::no, "no connection");
         return;
     }
-    this->note_cut();
+    this->note_lost_answer();
     this->end_attempt(direct::request_outcome::faulty);
     this->after_failure(ran, "answer was cut");
 }
 
-void call::note_cut()
+void call::note_lost_answer()
 {
     if (this->current->events_sent > 0 || this->current->facts.head_seen)
     {
         // What crashes an endpoint does so as it begins to run.
         return;
     }
-    direct::note_cut(
+    direct::note_lost_answer(
         this->context->book, this->current->endpoint, this->print,
         clock::now());
     try_reach(
