--- a/libs/direct/include/direct/endpoint_book.hpp
+++ b/libs/direct/include/direct/endpoint_book.hpp
@@ -241,7 +241,7 @@
 // told once. Failure: lost answers were taken for crashes, and everybody who
 // asked the same was refused for minutes while the endpoints lived.
 std::vector<std::uint64_t>
-take_cuts(endpoint_book& book, std::string const& id, base::time_point now);
+take_lost_answers(endpoint_book& book, std::string const& id, base::time_point now);
 
 // Anything came from the endpoint.
 void note_heard(
--- a/libs/direct/src/endpoint_book.cpp
+++ b/libs/direct/src/endpoint_book.cpp
@@ -362,7 +362,7 @@
 }
 
 std::vector<std::uint64_t>
-take_cuts(endpoint_book& book, std::string const& id, base::time_point now)
+take_lost_answers(endpoint_book& book, std::string const& id, base::time_point now)
 {
     std::vector<std::uint64_t> requests;
     auto const found = book.endpoints.find(id);
