--- a/libs/direct/include/direct/endpoint_book.hpp
+++ b/libs/direct/include/direct/endpoint_book.hpp
@@ -123,7 +123,7 @@
     std::set<std::string> held_out;
 };
 
-struct endpoint_book
+struct endpoint_table
 {
     // By id.
     std::map<std::string, endpoint_state> endpoints;
@@ -145,32 +145,32 @@
 inline constexpr std::chrono::milliseconds lapse_time{1500};
 
 // Takes one record in; false when nothing changed.
-bool put(endpoint_book& book, endpoint_record record);
+bool put(endpoint_table& book, endpoint_record record);
 
 // Takes an endpoint off the list: at once, or after lapse_time when the list
 // was not to be relied on.
 void remove(
-    endpoint_book& book,
+    endpoint_table& book,
     std::string const& id,
     bool list_was_lost,
     base::time_point now);
 
 // Replaces the whole list.
 void replace_all(
-    endpoint_book& book,
+    endpoint_table& book,
     std::vector<endpoint_record> records,
     bool list_was_lost,
     base::time_point now);
 
 // How many endpoints of the service are listed.
-std::size_t count_of(endpoint_book const& book, std::string const& service);
+std::size_t count_of(endpoint_table const& book, std::string const& service);
 
 // Drops what lapsed and believes what was kept back for long enough.
-void expire(endpoint_book& book, base::time_point now);
+void expire(endpoint_table& book, base::time_point now);
 
 // Takes an agent's word on the engine at this IP address.
 void note_report(
-    endpoint_book& book,
+    endpoint_table& book,
     std::string const& address,
     load_report const& report,
     base::time_point now);
@@ -181,28 +181,28 @@
 // report on, and what this entry has sent since the first is forgotten with the
 // second.
 void note_passed_report(
-    endpoint_book& book,
+    endpoint_table& book,
     std::string const& address,
     load_report const& report,
     base::time_point as_of);
 
 // Takes a version in if it is newer than those known; false when it is not.
 bool announce_version(
-    endpoint_book& book, std::string const& model, named_version const& named);
+    endpoint_table& book, std::string const& model, named_version const& named);
 
 // The machine was suspended for that long. Failure: the steady clock stands
 // still meanwhile, and the time of older versions would end that much later
 // here than everywhere else.
-void note_suspended(endpoint_book& book, std::chrono::milliseconds time);
+void note_suspended(endpoint_table& book, std::chrono::milliseconds time);
 
 // When this version of the model stops to begin requests, as far as newer ones
 // are known; nothing for the newest.
 std::optional<base::time_point> version_retires_at(
-    endpoint_book const& book, std::string const& model, std::uint64_t version);
+    endpoint_table const& book, std::string const& model, std::uint64_t version);
 
 // When the first version newer than this one was named; nothing for the newest.
 std::optional<base::time_point> superseded_at(
-    endpoint_book const& book, std::string const& model, std::uint64_t version);
+    endpoint_table const& book, std::string const& model, std::uint64_t version);
 
 // How an own request at an endpoint ended, as far as the endpoint is judged.
 enum class request_outcome
@@ -222,9 +222,9 @@
 };
 
 void note_request_begun(
-    endpoint_book& book, std::string const& id, base::time_point now);
+    endpoint_table& book, std::string const& id, base::time_point now);
 void note_request_ended(
-    endpoint_book& book,
+    endpoint_table& book,
     std::string const& id,
     request_outcome how,
     base::time_point now);
@@ -232,7 +232,7 @@
 // The answer to a request was cut before it began: the request may have crashed
 // the endpoint, or only its answer was lost.
 void note_lost_answer(
-    endpoint_book& book,
+    endpoint_table& book,
     std::string const& id,
     std::uint64_t request,
     base::time_point now);
@@ -241,11 +241,11 @@
 // told once. Failure: lost answers were taken for crashes, and everybody who
 // asked the same was refused for minutes while the endpoints lived.
 std::vector<std::uint64_t>
-take_lost_answers(endpoint_book& book, std::string const& id, base::time_point now);
+take_lost_answers(endpoint_table& book, std::string const& id, base::time_point now);
 
 // Anything came from the endpoint.
 void note_heard(
-    endpoint_book& book, std::string const& id, base::time_point now);
+    endpoint_table& book, std::string const& id, base::time_point now);
 
 // It owes answers and has sent nothing for this long. Streams send every 50 ms
 // and plain answers take less than half a second.
--- a/libs/direct/include/direct/placement.hpp
+++ b/libs/direct/include/direct/placement.hpp
@@ -101,7 +101,7 @@
 // it, and began it on weights whose time had ended, as it counts the deadline
 // from its reading. What is closed before it is read does not begin.
 std::optional<base::time_point> must_begin_by(
-    endpoint_book const& book,
+    endpoint_table const& book,
     std::string const& model,
     std::uint64_t version,
     base::time_point handed);
@@ -115,7 +115,7 @@
 // whose answers are faults, or whose agent fell silent, is taken only when no
 // other can.
 choice choose(
-    endpoint_book const& book,
+    endpoint_table const& book,
     placement_ask const& ask,
     base::time_point now,
     base::random_state& random);
--- a/libs/direct/include/direct/store_return.hpp
+++ b/libs/direct/include/direct/store_return.hpp
@@ -30,45 +30,45 @@
 inline constexpr std::size_t most_left = 4096;
 
 // The store came back from a copy.
-void note_return(endpoint_book& book, base::time_point now);
+void note_return(endpoint_table& book, base::time_point now);
 
 // Whether a list may lack endpoints that live and will write themselves again.
-bool may_lack_endpoints(endpoint_book const& book, base::time_point now);
+bool may_lack_endpoints(endpoint_table const& book, base::time_point now);
 
 // An endpoint was removed from a list that can be relied on.
 void note_left(
-    endpoint_book& book, std::string const& id, base::time_point now);
+    endpoint_table& book, std::string const& id, base::time_point now);
 
 // An endpoint is listed and believed.
-void note_present(endpoint_book& book, std::string const& id);
+void note_present(endpoint_table& book, std::string const& id);
 
 // Whether the listed record may be one of the copy that no longer holds: the
 // endpoint has left, or is leaving. It is kept back until the copy's time is
 // over.
 bool keep_back(
-    endpoint_book& book, endpoint_record const& record, base::time_point now);
+    endpoint_table& book, endpoint_record const& record, base::time_point now);
 
 // The endpoint was removed: nothing is kept back for it.
-void forget_kept_back(endpoint_book& book, std::string const& id);
+void forget_kept_back(endpoint_table& book, std::string const& id);
 
 // Records whose time to be kept back is over; they are believed from now on.
 std::vector<endpoint_record>
-take_believed(endpoint_book& book, base::time_point now);
+take_believed(endpoint_table& book, base::time_point now);
 
 // Takes a failure domain out of service, or back; false when nothing changed.
-bool take_out(endpoint_book& book, std::string const& domain);
-bool take_in(endpoint_book& book, std::string const& domain);
+bool take_out(endpoint_table& book, std::string const& domain);
+bool take_in(endpoint_table& book, std::string const& domain);
 
 // Replaces the list of failure domains that are out of service. Returns those
 // that came back.
 std::vector<std::string> replace_domains(
-    endpoint_book& book,
+    endpoint_table& book,
     std::set<std::string> const& listed,
     base::time_point now);
 
 // Takes back the failure domains that were held out for long enough.
 std::vector<std::string>
-expire_domains(endpoint_book& book, base::time_point now);
+expire_domains(endpoint_table& book, base::time_point now);
 
 } // namespace foxtailvale::direct
 
--- a/libs/direct/src/endpoint_book.cpp
+++ b/libs/direct/src/endpoint_book.cpp
@@ -84,7 +84,7 @@
 }
 
 std::optional<base::time_point> earliest_of_newer(
-    endpoint_book const& book,
+    endpoint_table const& book,
     std::string const& model,
     std::uint64_t version,
     base::time_point named_version::*which)
@@ -112,7 +112,7 @@
     return endpoint.service == service && !endpoint.draining;
 }
 
-bool put(endpoint_book& book, endpoint_record record)
+bool put(endpoint_table& book, endpoint_record record)
 {
     note_present(book, record.id);
     auto& state = book.endpoints[record.id];
@@ -134,7 +134,7 @@
 }
 
 void remove(
-    endpoint_book& book,
+    endpoint_table& book,
     std::string const& id,
     bool list_was_lost,
     base::time_point now)
@@ -158,7 +158,7 @@
 }
 
 void replace_all(
-    endpoint_book& book,
+    endpoint_table& book,
     std::vector<endpoint_record> records,
     bool list_was_lost,
     base::time_point now)
@@ -187,7 +187,7 @@
     }
 }
 
-std::size_t count_of(endpoint_book const& book, std::string const& service)
+std::size_t count_of(endpoint_table const& book, std::string const& service)
 {
     return static_cast<std::size_t>(std::ranges::count_if(
         book.endpoints,
@@ -197,7 +197,7 @@
         }));
 }
 
-void expire(endpoint_book& book, base::time_point now)
+void expire(endpoint_table& book, base::time_point now)
 {
     std::erase_if(
         book.endpoints,
@@ -212,7 +212,7 @@
 }
 
 void note_report(
-    endpoint_book& book,
+    endpoint_table& book,
     std::string const& address,
     load_report const& report,
     base::time_point now)
@@ -227,7 +227,7 @@
 }
 
 void note_passed_report(
-    endpoint_book& book,
+    endpoint_table& book,
     std::string const& address,
     load_report const& report,
     base::time_point as_of)
@@ -244,7 +244,7 @@
 }
 
 bool announce_version(
-    endpoint_book& book, std::string const& model, named_version const& named)
+    endpoint_table& book, std::string const& model, named_version const& named)
 {
     auto& known = book.versions[model];
     if (!known.empty() && known.back().version >= named.version)
@@ -255,7 +255,7 @@
     return true;
 }
 
-void note_suspended(endpoint_book& book, std::chrono::milliseconds time)
+void note_suspended(endpoint_table& book, std::chrono::milliseconds time)
 {
     for (auto& [model, known] : book.versions)
     {
@@ -268,18 +268,18 @@
 }
 
 std::optional<base::time_point> version_retires_at(
-    endpoint_book const& book, std::string const& model, std::uint64_t version)
+    endpoint_table const& book, std::string const& model, std::uint64_t version)
 {
     return earliest_of_newer(book, model, version, &named_version::older_until);
 }
 
 std::optional<base::time_point> superseded_at(
-    endpoint_book const& book, std::string const& model, std::uint64_t version)
+    endpoint_table const& book, std::string const& model, std::uint64_t version)
 {
     return earliest_of_newer(book, model, version, &named_version::learned);
 }
 
-void note_request_begun(endpoint_book& book, std::string const& id, base::time_point now)
+void note_request_begun(endpoint_table& book, std::string const& id, base::time_point now)
 {
     auto const found = book.endpoints.find(id);
     if (found == book.endpoints.end())
@@ -301,7 +301,7 @@
 }
 
 void note_request_ended(
-    endpoint_book& book,
+    endpoint_table& book,
     std::string const& id,
     request_outcome how,
     base::time_point now)
@@ -341,7 +341,7 @@
 }
 
 void note_lost_answer(
-    endpoint_book& book,
+    endpoint_table& book,
     std::string const& id,
     std::uint64_t request,
     base::time_point now)
@@ -362,7 +362,7 @@
 }
 
 std::vector<std::uint64_t>
-take_lost_answers(endpoint_book& book, std::string const& id, base::time_point now)
+take_lost_answers(endpoint_table& book, std::string const& id, base::time_point now)
 {
     std::vector<std::uint64_t> requests;
     auto const found = book.endpoints.find(id);
@@ -382,7 +382,7 @@
 }
 
 void note_heard(
-    endpoint_book& book, std::string const& id, base::time_point now)
+    endpoint_table& book, std::string const& id, base::time_point now)
 {
     auto const found = book.endpoints.find(id);
     if (found != book.endpoints.end())
--- a/libs/direct/src/placement.cpp
+++ b/libs/direct/src/placement.cpp
@@ -43,7 +43,7 @@
 
 // Whether the endpoint could take such a request at all.
 bool is_listed_for(
-    endpoint_book const& book,
+    endpoint_table const& book,
     endpoint_state const& state,
     placement_ask const& ask)
 {
@@ -92,7 +92,7 @@
 // Whether a request needs longer than the version may be used after the next
 // one's naming, so that it is done by the end at no moment after that.
 bool never_fits(
-    endpoint_book const& book,
+    endpoint_table const& book,
     placement_ask const& ask,
     std::uint64_t version,
     base::time_point ends)
@@ -104,7 +104,7 @@
 // Whether a request may be sent to an endpoint whose version ends.
 bool may_go_before(
     base::time_point ends,
-    endpoint_book const& book,
+    endpoint_table const& book,
     endpoint_state const& state,
     placement_ask const& ask,
     base::time_point now)
@@ -123,7 +123,7 @@
 }
 
 bool has_weights(
-    endpoint_book const& book,
+    endpoint_table const& book,
     endpoint_state const& state,
     placement_ask const& ask,
     base::time_point now)
@@ -209,7 +209,7 @@
 
 // Entries of failure domains in which nothing can serve the request.
 std::set<std::string>
-entries_without_endpoints(endpoint_book const& book, placement_ask const& ask)
+entries_without_endpoints(endpoint_table const& book, placement_ask const& ask)
 {
     std::set<std::string_view> served;
     for (auto const& [id, state] : book.endpoints)
@@ -295,7 +295,7 @@
 }
 
 expectation expect(
-    endpoint_book const& book,
+    endpoint_table const& book,
     endpoint_state const& state,
     placement_ask const& ask,
     base::time_point now)
@@ -406,7 +406,7 @@
 }
 
 std::optional<base::time_point> must_begin_by(
-    endpoint_book const& book,
+    endpoint_table const& book,
     std::string const& model,
     std::uint64_t version,
     base::time_point handed)
@@ -422,7 +422,7 @@
 }
 
 choice choose(
-    endpoint_book const& book,
+    endpoint_table const& book,
     placement_ask const& ask,
     base::time_point now,
     base::random_state& random)
--- a/libs/direct/src/store_return.cpp
+++ b/libs/direct/src/store_return.cpp
@@ -27,7 +27,7 @@
         });
 }
 
-bool is_leaving(endpoint_book const& book, std::string const& id)
+bool is_leaving(endpoint_table const& book, std::string const& id)
 {
     auto const found = book.endpoints.find(id);
     return found != book.endpoints.end() && found->second.listed.draining;
@@ -35,17 +35,17 @@
 
 } // namespace
 
-void note_return(endpoint_book& book, base::time_point now)
+void note_return(endpoint_table& book, base::time_point now)
 {
     book.doubt.returned = now;
 }
 
-bool may_lack_endpoints(endpoint_book const& book, base::time_point now)
+bool may_lack_endpoints(endpoint_table const& book, base::time_point now)
 {
     return is_within(book.doubt.returned, copy_time, now);
 }
 
-void note_left(endpoint_book& book, std::string const& id, base::time_point now)
+void note_left(endpoint_table& book, std::string const& id, base::time_point now)
 {
     auto& doubt = book.doubt;
     if (doubt.left.size() >= most_left)
@@ -58,14 +58,14 @@
     }
 }
 
-void note_present(endpoint_book& book, std::string const& id)
+void note_present(endpoint_table& book, std::string const& id)
 {
     book.doubt.left.erase(id);
     book.doubt.kept_back.erase(id);
 }
 
 bool keep_back(
-    endpoint_book& book, endpoint_record const& record, base::time_point now)
+    endpoint_table& book, endpoint_record const& record, base::time_point now)
 {
     auto& doubt = book.doubt;
     if (!is_within(doubt.returned, copy_time, now))
@@ -82,13 +82,13 @@
     return true;
 }
 
-void forget_kept_back(endpoint_book& book, std::string const& id)
+void forget_kept_back(endpoint_table& book, std::string const& id)
 {
     book.doubt.kept_back.erase(id);
 }
 
 std::vector<endpoint_record>
-take_believed(endpoint_book& book, base::time_point now)
+take_believed(endpoint_table& book, base::time_point now)
 {
     std::vector<endpoint_record> believed;
     auto& doubt = book.doubt;
@@ -103,20 +103,20 @@
     return believed;
 }
 
-bool take_out(endpoint_book& book, std::string const& domain)
+bool take_out(endpoint_table& book, std::string const& domain)
 {
     book.doubt.held_out.erase(domain);
     return book.domains_out.insert(domain).second;
 }
 
-bool take_in(endpoint_book& book, std::string const& domain)
+bool take_in(endpoint_table& book, std::string const& domain)
 {
     book.doubt.held_out.erase(domain);
     return book.domains_out.erase(domain) > 0;
 }
 
 std::vector<std::string> replace_domains(
-    endpoint_book& book,
+    endpoint_table& book,
     std::set<std::string> const& listed,
     base::time_point now)
 {
@@ -140,7 +140,7 @@
 }
 
 std::vector<std::string>
-expire_domains(endpoint_book& book, base::time_point now)
+expire_domains(endpoint_table& book, base::time_point now)
 {
     auto& doubt = book.doubt;
     std::vector<std::string> back;
--- a/libs/direct/tests/endpoint_book_tests.cpp
+++ b/libs/direct/tests/endpoint_book_tests.cpp
@@ -27,9 +27,9 @@
 
 } // namespace
 
-TEST(endpoint_book, what_left_is_gone_at_once)
+TEST(endpoint_table, what_left_is_gone_at_once)
 {
-    endpoint_book book;
+    endpoint_table book;
     put(book, engine("a"));
     remove(book, "a", false, start);
     EXPECT_TRUE(book.endpoints.empty());
@@ -38,9 +38,9 @@
 // The platform is away, the entries of its list run out, and it comes back
 // with an empty list. All callers are refused until the endpoints have
 // registered anew, although all of them live.
-TEST(endpoint_book, what_a_lost_list_misses_is_used_a_little_longer)
+TEST(endpoint_table, what_a_lost_list_misses_is_used_a_little_longer)
 {
-    endpoint_book book;
+    endpoint_table book;
     put(book, engine("a"));
     replace_all(book, {}, true, start);
     expire(book, start + milliseconds(1400));
@@ -49,9 +49,9 @@
     EXPECT_TRUE(book.endpoints.empty());
 }
 
-TEST(endpoint_book, one_that_returns_does_not_lapse)
+TEST(endpoint_table, one_that_returns_does_not_lapse)
 {
-    endpoint_book book;
+    endpoint_table book;
     put(book, engine("a"));
     replace_all(book, {}, true, start);
     put(book, engine("a"));
@@ -61,9 +61,9 @@
 
 // An endpoint announced that it leaves, and the list is lost just then. Kept
 // as one that lapsed, it would get requests after its end.
-TEST(endpoint_book, one_that_was_leaving_does_not_stay)
+TEST(endpoint_table, one_that_was_leaving_does_not_stay)
 {
-    endpoint_book book;
+    endpoint_table book;
     auto leaving = engine("a");
     leaving.draining = true;
     put(book, leaving);
@@ -71,9 +71,9 @@
     EXPECT_TRUE(book.endpoints.empty());
 }
 
-TEST(endpoint_book, a_fresh_report_goes_before_the_list)
+TEST(endpoint_table, a_fresh_report_goes_before_the_list)
 {
-    endpoint_book book;
+    endpoint_table book;
     put(book, engine("a"));
     note_report(book, "10.0.0.1", {.weights = {"m", 2, true}}, start);
     auto const& state = book.endpoints.at("a");
@@ -83,9 +83,9 @@
 
 // Guards against a report that two entries pass on wiping out what was sent to
 // the endpoint between the two.
-TEST(endpoint_book, a_report_that_was_passed_on_counts_once)
+TEST(endpoint_table, a_report_that_was_passed_on_counts_once)
 {
-    endpoint_book book;
+    endpoint_table book;
     put(book, engine("a"));
     auto const came = start - milliseconds(150);
     note_passed_report(book, "10.0.0.1", {.running = 3}, came);
@@ -110,9 +110,9 @@
 
 // The address of an endpoint that ended is used again by another. The report
 // on the old one must not speak for the new one.
-TEST(endpoint_book, a_report_does_not_outlive_its_address)
+TEST(endpoint_table, a_report_does_not_outlive_its_address)
 {
-    endpoint_book book;
+    endpoint_table book;
     put(book, engine("a"));
     note_report(book, "10.0.0.1", {.weights = {"m", 2, true}}, start);
     put(book, engine("a", "10.0.0.2:80"));
@@ -121,7 +121,7 @@
 
 TEST(versions, an_older_one_is_allowed_until_its_time)
 {
-    endpoint_book book;
+    endpoint_table book;
     announce_version(book, "m", {2, start, start + seconds(7)});
     announce_version(book, "m", {3, start, start + seconds(11)});
     EXPECT_FALSE(announce_version(book, "m", {2, start, start}));
@@ -143,7 +143,7 @@
 
 TEST(versions, the_use_of_one_ends_with_the_first_newer_one)
 {
-    endpoint_book book;
+    endpoint_table book;
     EXPECT_FALSE(version_retires_at(book, "m", 1));
     EXPECT_FALSE(superseded_at(book, "m", 1));
     announce_version(book, "m", {2, start, start + seconds(7)});
@@ -161,7 +161,7 @@
 // may count the later one's time shorter than the first one's.
 TEST(versions, the_use_of_one_ends_when_it_is_no_longer_allowed)
 {
-    endpoint_book book;
+    endpoint_table book;
     announce_version(book, "m", {2, start, start + seconds(9)});
     announce_version(book, "m", {3, start, start + seconds(8)});
     EXPECT_EQ(version_retires_at(book, "m", 1), start + seconds(8));
@@ -171,7 +171,7 @@
 
 TEST(use, an_endpoint_that_cannot_be_reached_is_left_alone_longer_each_time)
 {
-    endpoint_book book;
+    endpoint_table book;
     put(book, engine("a"));
     auto& state = book.endpoints.at("a");
     note_request_begun(book, "a", start);
@@ -187,7 +187,7 @@
 // what they held; every request is turned away, and the repeats are spent.
 TEST(use, an_engine_that_turned_a_request_away_is_left_alone_until_it_changes)
 {
-    endpoint_book book;
+    endpoint_table book;
     put(book, engine("a"));
     auto const& state = book.endpoints.at("a");
     note_request_begun(book, "a", start);
@@ -201,7 +201,7 @@
 
 TEST(use, silence_while_answers_are_owed_is_a_stall)
 {
-    endpoint_book book;
+    endpoint_table book;
     put(book, engine("a"));
     auto const& state = book.endpoints.at("a");
     note_request_begun(book, "a", start);
@@ -215,7 +215,7 @@
 
 // An engine is emptied and taken away while a version is named. Its agent would
 // be told to draw chunks for all the others, and it is stopped a moment later.
-TEST(endpoint_book, agents_of_endpoints_that_leave_take_no_part)
+TEST(endpoint_table, agents_of_endpoints_that_leave_take_no_part)
 {
     endpoint_record engine;
     engine.service = "s";
--- a/libs/direct/tests/placement_tests.cpp
+++ b/libs/direct/tests/placement_tests.cpp
@@ -32,9 +32,9 @@
 }
 
 // Engines e0, e1, ... at 10.0.0.N, in two failure domains by turns.
-endpoint_book engines(std::size_t count)
+endpoint_table engines(std::size_t count)
 {
-    endpoint_book book;
+    endpoint_table book;
     book.regions = {{"d0", "r0"}, {"d1", "r1"}};
     for (std::size_t number = 0; number < count; ++number)
     {
@@ -55,7 +55,7 @@
     return ask;
 }
 
-std::string chosen_id(endpoint_book const& book, placement_ask const& ask)
+std::string chosen_id(endpoint_table const& book, placement_ask const& ask)
 {
     base::random_state random{3};
     auto const found = choose(book, ask, start, random);
@@ -63,7 +63,7 @@
 }
 
 void report(
-    endpoint_book& book,
+    endpoint_table& book,
     std::string const& address,
     std::uint32_t running,
     base::time_point at = start)
@@ -514,7 +514,7 @@
 TEST(placement, entries_with_the_same_report_do_not_herd)
 {
     constexpr std::size_t entries = 8;
-    std::vector<endpoint_book> books(entries, engines(8));
+    std::vector<endpoint_table> books(entries, engines(8));
     std::vector<base::random_state> seeds;
     for (std::size_t entry = 0; entry < entries; ++entry)
     {
@@ -553,7 +553,7 @@
 TEST(placement, an_engine_that_returns_is_not_overrun)
 {
     constexpr std::size_t entries = 8;
-    std::vector<endpoint_book> books(entries, engines(1));
+    std::vector<endpoint_table> books(entries, engines(1));
     std::uint32_t sent = 0;
     for (auto& book : books)
     {
--- a/libs/direct/tests/played_fleet.hpp
+++ b/libs/direct/tests/played_fleet.hpp
@@ -94,7 +94,7 @@
 {
     std::string name;
     std::string domain;
-    endpoint_book book;
+    endpoint_table book;
     base::random_state random;
     request::measured_time first_answer;
     retry_window repeats;
--- a/libs/direct/tests/shares_tests.cpp
+++ b/libs/direct/tests/shares_tests.cpp
@@ -178,7 +178,7 @@
             ask.all_entries = nullptr;
             ask.entries = sharers(entry_count{});
             ask.newcomer = is_newcomer(entry_count{}, start);
-            endpoint_book book;
+            endpoint_table book;
             endpoint_record record;
             record.id = "i-1";
             record.service = "s";
--- a/libs/direct/tests/store_return_tests.cpp
+++ b/libs/direct/tests/store_return_tests.cpp
@@ -22,16 +22,16 @@
     return made;
 }
 
-bool takes_work(endpoint_book const& book, std::string const& id)
+bool takes_work(endpoint_table const& book, std::string const& id)
 {
     auto const found = book.endpoints.find(id);
     return found != book.endpoints.end() && !found->second.listed.draining;
 }
 
 // A list with one that left, one that is leaving and one that stays.
-endpoint_book before_return()
+endpoint_table before_return()
 {
-    endpoint_book book;
+    endpoint_table book;
     for (auto const* id : {"gone", "leaving", "stays"})
     {
         put(book, record(id, false));
@@ -42,7 +42,7 @@
 }
 
 // The copy of before all that.
-void list_copy(endpoint_book& book, base::time_point now)
+void list_copy(endpoint_table& book, base::time_point now)
 {
     replace_all(
         book,
@@ -91,7 +91,7 @@
 // and is doubted when the list is read once more.
 TEST(store_return, what_only_lapsed_is_believed_when_it_is_listed_again)
 {
-    endpoint_book book;
+    endpoint_table book;
     put(book, record("joined", false));
     note_return(book, start);
     replace_all(book, {}, true, start);
@@ -106,7 +106,7 @@
 // store's absence.
 TEST(store_return, what_the_copy_lacks_has_not_left)
 {
-    endpoint_book book;
+    endpoint_table book;
     put(book, record("joined", false));
     note_return(book, start);
     replace_all(book, {}, false, start);
@@ -151,7 +151,7 @@
 // Guards against work in a failure domain that the copy does not show as out.
 TEST(store_return, a_domain_that_the_copy_lacks_stays_out_for_a_while)
 {
-    endpoint_book book;
+    endpoint_table book;
     take_out(book, "a");
     note_return(book, start);
     EXPECT_TRUE(replace_domains(book, {}, start).empty());
@@ -166,7 +166,7 @@
 // Guards against a domain that comes back because it once was held out.
 TEST(store_return, a_domain_that_is_written_again_is_out_as_before)
 {
-    endpoint_book book;
+    endpoint_table book;
     take_out(book, "a");
     note_return(book, start);
     replace_domains(book, {}, start);
@@ -178,7 +178,7 @@
 
 TEST(store_return, without_a_return_a_domain_comes_back_with_the_list)
 {
-    endpoint_book book;
+    endpoint_table book;
     take_out(book, "a");
     EXPECT_EQ(replace_domains(book, {}, start), std::vector<std::string>{"a"});
     EXPECT_TRUE(book.domains_out.empty());
@@ -187,7 +187,7 @@
 // Guards against a memory that grows with each endpoint that ever left.
 TEST(store_return, the_memory_of_what_left_is_bounded)
 {
-    endpoint_book book;
+    endpoint_table book;
     for (std::size_t number = 0; number < 3 * most_left; ++number)
     {
         note_left(book, std::to_string(number), start);
--- a/libs/gateway/include/gateway/entry_context.hpp
+++ b/libs/gateway/include/gateway/entry_context.hpp
@@ -60,7 +60,7 @@
     std::shared_ptr<routing::configuration const> configuration;
     // When the read began that last confirmed it.
     std::optional<base::boot_time> confirmed;
-    direct::endpoint_book book;
+    direct::endpoint_table book;
     direct::process_pause pause;
     // How long the machine was suspended since its start, as last seen.
     std::chrono::milliseconds suspended{0};
--- a/libs/gateway/include/gateway/traffic.hpp
+++ b/libs/gateway/include/gateway/traffic.hpp
@@ -31,7 +31,7 @@
 // other, or unknown while the sender has not been named. Begins anew.
 void tell_traffic(
     traffic_book& book,
-    direct::endpoint_book const& known,
+    direct::endpoint_table const& known,
     std::string const& own_domain,
     kernel::metrics& counters);
 
--- a/libs/gateway/src/traffic.cpp
+++ b/libs/gateway/src/traffic.cpp
@@ -9,7 +9,7 @@
 {
 
 std::map<std::string, std::string>
-domains_by_ip(direct::endpoint_book const& known)
+domains_by_ip(direct::endpoint_table const& known)
 {
     std::map<std::string, std::string> found;
     for (auto const& [domain, entries] : known.domain_entries)
@@ -41,7 +41,7 @@
 
 void tell_traffic(
     traffic_book& book,
-    direct::endpoint_book const& known,
+    direct::endpoint_table const& known,
     std::string const& own_domain,
     kernel::metrics& counters)
 {
--- a/libs/gateway/tests/traffic_tests.cpp
+++ b/libs/gateway/tests/traffic_tests.cpp
@@ -9,7 +9,7 @@
 TEST(traffic, is_counted_by_kind_and_by_where_it_came_from)
 {
     traffic_book book;
-    direct::endpoint_book known;
+    direct::endpoint_table known;
     known.domain_entries["a"] = {"10.0.0.1"};
     direct::endpoint_record record;
     record.id = "e";
