--- a/libs/direct/include/direct/endpoint_book.hpp
+++ b/libs/direct/include/direct/endpoint_book.hpp
@@ -37,7 +37,7 @@
 // the list, their agents were to draw a sixth of a version's chunks and were
 // stopped half a second later; the origin died, and the fleet missed two chunks
 // for six seconds. Planned work says that an endpoint leaves seconds ahead.
-bool takes_part(endpoint_record const& endpoint, std::string const& service);
+bool participates_in_transfer(endpoint_record const& endpoint, std::string const& service);
 
 // An endpoint as the platform lists it.
 struct endpoint_record
--- a/libs/direct/src/endpoint_book.cpp
+++ b/libs/direct/src/endpoint_book.cpp
@@ -107,7 +107,7 @@
 
 } // namespace
 
-bool takes_part(endpoint_record const& endpoint, std::string const& service)
+bool participates_in_transfer(endpoint_record const& endpoint, std::string const& service)
 {
     return endpoint.service == service && !endpoint.draining;
 }
--- a/libs/direct/tests/endpoint_book_tests.cpp
+++ b/libs/direct/tests/endpoint_book_tests.cpp
@@ -219,10 +219,10 @@
 {
     endpoint_record engine;
     engine.service = "s";
-    EXPECT_TRUE(takes_part(engine, "s"));
-    EXPECT_FALSE(takes_part(engine, "other"));
+    EXPECT_TRUE(participates_in_transfer(engine, "s"));
+    EXPECT_FALSE(participates_in_transfer(engine, "other"));
     engine.draining = true;
-    EXPECT_FALSE(takes_part(engine, "s"));
+    EXPECT_FALSE(participates_in_transfer(engine, "s"));
 }
 
 } // namespace foxtailvale::direct
--- a/libs/gateway/src/peer_link.cpp
+++ b/libs/gateway/src/peer_link.cpp
@@ -276,7 +276,7 @@
     for (auto const& [id, state] : this->context->book.endpoints)
     {
         auto const address = net::parse_endpoint(state.listed.address);
-        if (!direct::takes_part(state.listed, asked.service()) || !address ||
+        if (!direct::participates_in_transfer(state.listed, asked.service()) || !address ||
             !address->address().is_v4())
         {
             continue;
--- a/libs/gateway/src/weights_door.cpp
+++ b/libs/gateway/src/weights_door.cpp
@@ -180,7 +180,7 @@
     if (path->kind == asked_kind::check)
     {
         session->respond(
-            this->takes_part(path->version) ? 200 : weights_missing, {}, {});
+            this->participates_in_transfer(path->version) ? 200 : weights_missing, {}, {});
         return;
     }
     if (path->kind == asked_kind::chunk)
@@ -211,7 +211,7 @@
     this->waiting.insert(place, asked);
 }
 
-bool weights_door::takes_part(std::uint64_t version) const
+bool weights_door::participates_in_transfer(std::uint64_t version) const
 {
     auto const& known = this->context->versions;
     auto const found = known.find(version);
@@ -220,7 +220,7 @@
 
 bool weights_door::can_answer(asked_part const& asked) const
 {
-    if (!this->takes_part(asked.version))
+    if (!this->participates_in_transfer(asked.version))
     {
         return false;
     }
--- a/libs/gateway/src/weights_door.hpp
+++ b/libs/gateway/src/weights_door.hpp
@@ -94,7 +94,7 @@
     // Puts a request in its place: those first behind whom most wait.
     void line_up(asked_part const& asked);
     // Whether the version's manifest is held.
-    bool takes_part(std::uint64_t version) const;
+    bool participates_in_transfer(std::uint64_t version) const;
     bool can_answer(asked_part const& asked) const;
     void answer(asked_part const& asked);
     // Whether one more chunk may be promised to whoever asks for it.
