--- a/libs/direct/include/direct/watch_duty.hpp
+++ b/libs/direct/include/direct/watch_duty.hpp
@@ -105,7 +105,7 @@
 inline constexpr std::chrono::milliseconds look_time{2500};
 
 // What another entry says of its watching.
-enum class watch_word
+enum class watch_status
 {
     // The store has just answered it.
     fresh,
@@ -118,7 +118,7 @@
     watch_duty& state,
     std::string const& name,
     std::string const& failure_domain,
-    watch_word word,
+    watch_status word,
     base::boot_time now);
 
 // Another entry confirmed the views of this one.
--- a/libs/direct/src/watch_duty.cpp
+++ b/libs/direct/src/watch_duty.cpp
@@ -145,7 +145,7 @@
     watch_duty& state,
     std::string const& name,
     std::string const& failure_domain,
-    watch_word word,
+    watch_status word,
     base::boot_time now)
 {
     if (name == state.own)
@@ -154,11 +154,11 @@
     }
     state.watchers.erase(name);
     state.lookers.erase(name);
-    if (word == watch_word::fresh)
+    if (word == watch_status::fresh)
     {
         state.watchers[name] = {failure_domain, now};
     }
-    if (word == watch_word::looking)
+    if (word == watch_status::looking)
     {
         state.lookers[name] = {failure_domain, now};
     }
--- a/libs/direct/tests/watch_duty_tests.cpp
+++ b/libs/direct/tests/watch_duty_tests.cpp
@@ -167,14 +167,14 @@
             {
                 // It said so when it stopped.
                 note_watcher(
-                    duty, other.own, other.own_domain, watch_word::not_watching,
+                    duty, other.own, other.own_domain, watch_status::not_watching,
                     this->now);
                 continue;
             }
             auto const fresh = this->is_fresh(other);
             note_watcher(
                 duty, other.own, other.own_domain,
-                fresh ? watch_word::fresh : watch_word::looking, this->now);
+                fresh ? watch_status::fresh : watch_status::looking, this->now);
             if (fresh && !duty.watching)
             {
                 note_followed(duty, this->now);
@@ -381,10 +381,10 @@
     duty.own = "me";
     duty.own_domain = "d0";
     base::boot_time const now{seconds(100)};
-    note_watcher(duty, "far", "d1", watch_word::fresh, now);
-    note_watcher(duty, "near", "d0", watch_word::fresh, now);
-    note_watcher(duty, "gone", "d0", watch_word::fresh, now);
-    note_watcher(duty, "gone", "d0", watch_word::looking, now);
+    note_watcher(duty, "far", "d1", watch_status::fresh, now);
+    note_watcher(duty, "near", "d0", watch_status::fresh, now);
+    note_watcher(duty, "gone", "d0", watch_status::fresh, now);
+    note_watcher(duty, "gone", "d0", watch_status::looking, now);
     EXPECT_EQ(sources(duty, now), (std::vector<std::string>{"near", "far"}));
     EXPECT_TRUE(sources(duty, {seconds(102)}).empty());
 }
@@ -399,10 +399,10 @@
     duty.own_domain = "own";
     duty.watching = false;
     duty.followed = start;
-    note_watcher(duty, "far-1", "far", watch_word::fresh, start);
+    note_watcher(duty, "far-1", "far", watch_status::fresh, start);
     EXPECT_TRUE(may_take_from(duty, "far", start));
     EXPECT_EQ(asked(duty, start), std::vector<std::string>{"far-1"});
-    note_watcher(duty, "own-2", "own", watch_word::fresh, start);
+    note_watcher(duty, "own-2", "own", watch_status::fresh, start);
     EXPECT_FALSE(may_take_from(duty, "far", start));
     EXPECT_EQ(asked(duty, start), std::vector<std::string>{"own-2"});
     EXPECT_FALSE(tells_at_once(duty, "far", start));
@@ -411,7 +411,7 @@
     EXPECT_EQ(asked(duty, late), (std::vector<std::string>{"own-2", "far-1"}));
     auto const silent = start + watcher_silence + milliseconds(1);
     note_followed(duty, silent);
-    note_watcher(duty, "far-1", "far", watch_word::fresh, silent);
+    note_watcher(duty, "far-1", "far", watch_status::fresh, silent);
     EXPECT_TRUE(may_take_from(duty, "far", silent));
     EXPECT_TRUE(tells_at_once(duty, "other", silent));
 }
@@ -425,7 +425,7 @@
     duty.own = "own-1";
     duty.own_domain = "own";
     duty.seeds = {"own-2", "far-1"};
-    note_watcher(duty, "own-2", "own", watch_word::fresh, start);
+    note_watcher(duty, "own-2", "own", watch_status::fresh, start);
     EXPECT_EQ(asked(duty, start).size(), 1U);
     auto const silent = start + watcher_silence + milliseconds(1);
     EXPECT_EQ(asked(duty, silent).size(), 2U);
--- a/libs/gateway/src/view_relay.cpp
+++ b/libs/gateway/src/view_relay.cpp
@@ -57,14 +57,14 @@
         std::max<std::int64_t>(0, (now - then.value_or(now)).count()));
 }
 
-direct::watch_word word_of(wire::ViewNotice const& notice)
+direct::watch_status word_of(wire::ViewNotice const& notice)
 {
     if (notice.fresh())
     {
-        return direct::watch_word::fresh;
+        return direct::watch_status::fresh;
     }
-    return notice.watching() ? direct::watch_word::looking
-                             : direct::watch_word::not_watching;
+    return notice.watching() ? direct::watch_status::looking
+                             : direct::watch_status::not_watching;
 }
 
 // A number at the front of the text, which is taken off.
