--- a/libs/direct/include/direct/watch_duty.hpp
+++ b/libs/direct/include/direct/watch_duty.hpp
@@ -144,7 +144,7 @@
 
 // Whether entries of that failure domain are told of each change at once. Those
 // of others hear it from their own watcher.
-bool tells_at_once(
+bool notifies_immediately(
     watch_duty const& state,
     std::string const& failure_domain,
     base::boot_time now);
--- a/libs/direct/src/watch_duty.cpp
+++ b/libs/direct/src/watch_duty.cpp
@@ -205,7 +205,7 @@
     return count(state, now).own_domain == 0;
 }
 
-bool tells_at_once(
+bool notifies_immediately(
     watch_duty const& state,
     std::string const& failure_domain,
     base::boot_time now)
--- a/libs/direct/tests/watch_duty_tests.cpp
+++ b/libs/direct/tests/watch_duty_tests.cpp
@@ -405,7 +405,7 @@
     note_watcher(duty, "own-2", "own", watch_status::fresh, start);
     EXPECT_FALSE(may_take_from(duty, "far", start));
     EXPECT_EQ(asked(duty, start), std::vector<std::string>{"own-2"});
-    EXPECT_FALSE(tells_at_once(duty, "far", start));
+    EXPECT_FALSE(notifies_immediately(duty, "far", start));
     auto const late = start + near_patience + milliseconds(1);
     EXPECT_TRUE(may_take_from(duty, "far", late));
     EXPECT_EQ(asked(duty, late), (std::vector<std::string>{"own-2", "far-1"}));
@@ -413,7 +413,7 @@
     note_followed(duty, silent);
     note_watcher(duty, "far-1", "far", watch_status::fresh, silent);
     EXPECT_TRUE(may_take_from(duty, "far", silent));
-    EXPECT_TRUE(tells_at_once(duty, "other", silent));
+    EXPECT_TRUE(notifies_immediately(duty, "other", silent));
 }
 
 // Guards against the end of a process whose watchers all fell silent, one of
--- a/libs/gateway/src/view_relay.cpp
+++ b/libs/gateway/src/view_relay.cpp
@@ -357,7 +357,7 @@
     {
         for (auto const& [domain, entries] : by_domain)
         {
-            if (direct::tells_at_once(this->duty, domain, now))
+            if (direct::notifies_immediately(this->duty, domain, now))
             {
                 told.insert(entries.begin(), entries.end());
                 continue;
