--- a/libs/direct/include/direct/watch_duty.hpp
+++ b/libs/direct/include/direct/watch_duty.hpp
@@ -137,7 +137,7 @@
 inline constexpr std::chrono::milliseconds near_patience{500};
 
 // Whether views are taken from a watcher of that failure domain now.
-bool may_take_from(
+bool accepts_views_from(
     watch_duty const& state,
     std::string const& failure_domain,
     base::boot_time now);
--- a/libs/direct/src/watch_duty.cpp
+++ b/libs/direct/src/watch_duty.cpp
@@ -192,7 +192,7 @@
     return state.watching;
 }
 
-bool may_take_from(
+bool accepts_views_from(
     watch_duty const& state,
     std::string const& failure_domain,
     base::boot_time now)
@@ -234,7 +234,7 @@
         {
             auto const watcher = state.watchers.find(name);
             return watcher != state.watchers.end() &&
-                   !may_take_from(state, watcher->second.failure_domain, now);
+                   !accepts_views_from(state, watcher->second.failure_domain, now);
         });
     chosen.resize(std::min(chosen.size(), most_asked));
     return chosen;
--- a/libs/direct/tests/watch_duty_tests.cpp
+++ b/libs/direct/tests/watch_duty_tests.cpp
@@ -400,19 +400,19 @@
     duty.watching = false;
     duty.followed = start;
     note_watcher(duty, "far-1", "far", watch_status::fresh, start);
-    EXPECT_TRUE(may_take_from(duty, "far", start));
+    EXPECT_TRUE(accepts_views_from(duty, "far", start));
     EXPECT_EQ(asked(duty, start), std::vector<std::string>{"far-1"});
     note_watcher(duty, "own-2", "own", watch_status::fresh, start);
-    EXPECT_FALSE(may_take_from(duty, "far", start));
+    EXPECT_FALSE(accepts_views_from(duty, "far", start));
     EXPECT_EQ(asked(duty, start), std::vector<std::string>{"own-2"});
     EXPECT_FALSE(notifies_immediately(duty, "far", start));
     auto const late = start + near_patience + milliseconds(1);
-    EXPECT_TRUE(may_take_from(duty, "far", late));
+    EXPECT_TRUE(accepts_views_from(duty, "far", late));
     EXPECT_EQ(asked(duty, late), (std::vector<std::string>{"own-2", "far-1"}));
     auto const silent = start + watcher_silence + milliseconds(1);
     note_followed(duty, silent);
     note_watcher(duty, "far-1", "far", watch_status::fresh, silent);
-    EXPECT_TRUE(may_take_from(duty, "far", silent));
+    EXPECT_TRUE(accepts_views_from(duty, "far", silent));
     EXPECT_TRUE(notifies_immediately(duty, "other", silent));
 }
 
--- a/libs/gateway/src/view_relay.cpp
+++ b/libs/gateway/src/view_relay.cpp
@@ -518,7 +518,7 @@
         direct::follow(this->duty, now);
         this->change_duty();
     }
-    if (!direct::may_take_from(this->duty, notice.failure_domain(), now))
+    if (!direct::accepts_views_from(this->duty, notice.failure_domain(), now))
     {
         return;
     }
