--- a/libs/direct/include/direct/watch_duty.hpp
+++ b/libs/direct/include/direct/watch_duty.hpp
@@ -122,7 +122,7 @@
     base::boot_time now);
 
 // Another entry confirmed the views of this one.
-void note_followed(watch_duty& state, base::boot_time now);
+void note_views_confirmed(watch_duty& state, base::boot_time now);
 
 // Follows others from now on; for an entry that knows nothing yet.
 void follow(watch_duty& state, base::boot_time now);
--- a/libs/direct/src/watch_duty.cpp
+++ b/libs/direct/src/watch_duty.cpp
@@ -164,7 +164,7 @@
     }
 }
 
-void note_followed(watch_duty& state, base::boot_time now)
+void note_views_confirmed(watch_duty& state, base::boot_time now)
 {
     state.followed = std::max(state.followed, now);
     if (!state.watching)
--- a/libs/direct/tests/watch_duty_tests.cpp
+++ b/libs/direct/tests/watch_duty_tests.cpp
@@ -177,7 +177,7 @@
                 fresh ? watch_status::fresh : watch_status::looking, this->now);
             if (fresh && !duty.watching)
             {
-                note_followed(duty, this->now);
+                note_views_confirmed(duty, this->now);
             }
         }
     }
@@ -410,7 +410,7 @@
     EXPECT_TRUE(accepts_views_from(duty, "far", late));
     EXPECT_EQ(asked(duty, late), (std::vector<std::string>{"own-2", "far-1"}));
     auto const silent = start + watcher_silence + milliseconds(1);
-    note_followed(duty, silent);
+    note_views_confirmed(duty, silent);
     note_watcher(duty, "far-1", "far", watch_status::fresh, silent);
     EXPECT_TRUE(accepts_views_from(duty, "far", silent));
     EXPECT_TRUE(notifies_immediately(duty, "other", silent));
--- a/libs/gateway/include/gateway/view_relay.hpp
+++ b/libs/gateway/include/gateway/view_relay.hpp
@@ -104,7 +104,7 @@
         google::protobuf::RepeatedPtrField<wire::ViewMark> const& marks);
     // Failure: notices arrive and pages do not. Unless every kind is
     // confirmed, this entry watches for itself.
-    void note_followed(std::uint32_t kind, base::boot_time asked_at);
+    void note_views_confirmed(std::uint32_t kind, base::boot_time asked_at);
     // A page as it is sent: for how many milliseconds it was kept, and itself.
     std::string
     page_text(view_feed const& feed, platform::store_mark const& after);
--- a/libs/gateway/src/view_relay.cpp
+++ b/libs/gateway/src/view_relay.cpp
@@ -544,7 +544,7 @@
         else if (sent && feed->mark().era == told.era)
         {
             feed->confirm_by_peer(told, *sent - milliseconds(mark.age_ms()));
-            this->note_followed(mark.kind(), *sent);
+            this->note_views_confirmed(mark.kind(), *sent);
         }
     }
 }
@@ -578,7 +578,7 @@
     }
 }
 
-void view_relay::note_followed(std::uint32_t kind, base::boot_time asked_at)
+void view_relay::note_views_confirmed(std::uint32_t kind, base::boot_time asked_at)
 {
     this->followed[kind] = asked_at;
     auto least = asked_at;
@@ -592,7 +592,7 @@
         }
         least = std::min(least, found->second);
     }
-    direct::note_followed(this->duty, least);
+    direct::note_views_confirmed(this->duty, least);
 }
 
 void view_relay::fetch_page(
@@ -653,7 +653,7 @@
     // One that watches by now takes what its watch brings, in order.
     if (!this->duty.watching && target->take_page(std::string(text), as_of))
     {
-        this->note_followed(kind, as_of);
+        this->note_views_confirmed(kind, as_of);
     }
 }
 
