--- a/libs/direct/include/direct/placement.hpp
+++ b/libs/direct/include/direct/placement.hpp
@@ -15,7 +15,7 @@
 {
 
 // What a request needs of an endpoint.
-struct placement_ask
+struct placement_query
 {
     std::string service;
     // Empty for a plain service.
@@ -116,7 +116,7 @@
 // other can.
 choice choose(
     endpoint_table const& book,
-    placement_ask const& ask,
+    placement_query const& ask,
     base::time_point now,
     base::random_state& random);
 
--- a/libs/direct/src/placement.cpp
+++ b/libs/direct/src/placement.cpp
@@ -45,7 +45,7 @@
 bool is_listed_for(
     endpoint_table const& book,
     endpoint_state const& state,
-    placement_ask const& ask)
+    placement_query const& ask)
 {
     auto const& listed = state.listed;
     if (listed.service != ask.service || listed.draining ||
@@ -84,7 +84,7 @@
 // Whether the request is likely to be done when the endpoint's version ends, so
 // that this end can be its deadline.
 bool is_done_by(
-    base::time_point ends, placement_ask const& ask, base::time_point now)
+    base::time_point ends, placement_query const& ask, base::time_point now)
 {
     return now + ask.expected < ends;
 }
@@ -93,7 +93,7 @@
 // one's naming, so that it is done by the end at no moment after that.
 bool never_fits(
     endpoint_table const& book,
-    placement_ask const& ask,
+    placement_query const& ask,
     std::uint64_t version,
     base::time_point ends)
 {
@@ -106,7 +106,7 @@
     base::time_point ends,
     endpoint_table const& book,
     endpoint_state const& state,
-    placement_ask const& ask,
+    placement_query const& ask,
     base::time_point now)
 {
     if (now + time_to_begin(state, ask.entries, now) >= ends)
@@ -125,7 +125,7 @@
 bool has_weights(
     endpoint_table const& book,
     endpoint_state const& state,
-    placement_ask const& ask,
+    placement_query const& ask,
     base::time_point now)
 {
     if (ask.model.empty())
@@ -168,7 +168,7 @@
 // many entries as there are free slots, and some more since not all have a
 // request, draw the lot; the next draw is a tenth of a second later.
 bool draws_lot(
-    endpoint_state const& state, placement_ask const& ask, base::time_point now)
+    endpoint_state const& state, placement_query const& ask, base::time_point now)
 {
     if (ask.entries <= 1 || !is_fresh(state, now))
     {
@@ -194,7 +194,7 @@
 // stood still, and what entries had gone on sending to them ran at their
 // return, after its callers had left.
 bool may_try(
-    endpoint_state const& state, placement_ask const& ask, base::time_point now)
+    endpoint_state const& state, placement_query const& ask, base::time_point now)
 {
     if (state.own_running > 0)
     {
@@ -209,7 +209,7 @@
 
 // Entries of failure domains in which nothing can serve the request.
 std::set<std::string>
-entries_without_endpoints(endpoint_table const& book, placement_ask const& ask)
+entries_without_endpoints(endpoint_table const& book, placement_query const& ask)
 {
     std::set<std::string_view> served;
     for (auto const& [id, state] : book.endpoints)
@@ -243,7 +243,7 @@
 // Whether this entry is one of those that share what the endpoint bears.
 bool takes_part_of(
     endpoint_state const& state,
-    placement_ask const& ask,
+    placement_query const& ask,
     entry_ranks const& ranks)
 {
     part_memory none;
@@ -254,7 +254,7 @@
 
 bool takes_work(
     endpoint_state const& state,
-    placement_ask const& ask,
+    placement_query const& ask,
     entry_ranks const& ranks,
     base::time_point now)
 {
@@ -297,7 +297,7 @@
 expectation expect(
     endpoint_table const& book,
     endpoint_state const& state,
-    placement_ask const& ask,
+    placement_query const& ask,
     base::time_point now)
 {
     expectation found;
@@ -321,7 +321,7 @@
 // The deadline that the version's end sets, where it sets one.
 std::optional<base::time_point> works_until(
     std::optional<base::time_point> ends,
-    placement_ask const& ask,
+    placement_query const& ask,
     base::time_point now)
 {
     auto const sets = ends && (ask.version != 0 || is_done_by(*ends, ask, now));
@@ -423,7 +423,7 @@
 
 choice choose(
     endpoint_table const& book,
-    placement_ask const& ask,
+    placement_query const& ask,
     base::time_point now,
     base::random_state& random)
 {
--- a/libs/direct/tests/placement_tests.cpp
+++ b/libs/direct/tests/placement_tests.cpp
@@ -46,16 +46,16 @@
     return book;
 }
 
-placement_ask ask_from(std::string domain)
+placement_query ask_from(std::string domain)
 {
-    placement_ask ask;
+    placement_query ask;
     ask.service = "s";
     ask.model = "m";
     ask.own_domain = std::move(domain);
     return ask;
 }
 
-std::string chosen_id(endpoint_table const& book, placement_ask const& ask)
+std::string chosen_id(endpoint_table const& book, placement_query const& ask)
 {
     base::random_state random{3};
     auto const found = choose(book, ask, start, random);
--- a/libs/direct/tests/played_entries.cpp
+++ b/libs/direct/tests/played_entries.cpp
@@ -21,12 +21,12 @@
 constexpr milliseconds connect_limit{400};
 constexpr std::uint32_t most_attempts = 2;
 
-placement_ask placement(
+placement_query placement(
     world const& state, played_entry const& entry, caller_request const& asked)
 {
     constexpr double cold_per_second = 36;
     constexpr double cold_tolerance = 5;
-    placement_ask ask;
+    placement_query ask;
     ask.service = service_name;
     ask.model = model_name;
     ask.own_domain = entry.domain;
--- a/libs/direct/tests/shares_tests.cpp
+++ b/libs/direct/tests/shares_tests.cpp
@@ -170,7 +170,7 @@
         std::size_t sent = 0;
         for (std::size_t entry = 0; entry < entries; ++entry)
         {
-            placement_ask ask;
+            placement_query ask;
             ask.service = "s";
             ask.own_entry = "10.0." + std::to_string(entry / 256) + "." +
                             std::to_string(entry % 256);
--- a/libs/gateway/src/call.cpp
+++ b/libs/gateway/src/call.cpp
@@ -160,10 +160,10 @@
     return true;
 }
 
-direct::placement_ask call::placement() const
+direct::placement_query call::placement() const
 {
     auto const& bounds = this->context->settings.promised;
-    direct::placement_ask ask;
+    direct::placement_query ask;
     ask.service = this->service_name;
     ask.model = this->service->engine ? this->said.model : std::string();
     ask.own_domain = this->context->settings.failure_domain;
--- a/libs/gateway/src/call.hpp
+++ b/libs/gateway/src/call.hpp
@@ -86,7 +86,7 @@
     bool has_returned(std::chrono::milliseconds goal) const;
     bool has_line() const;
     bool place(bool may_wait);
-    direct::placement_ask placement() const;
+    direct::placement_query placement() const;
     void wait();
     void leave_line();
     // It has waited for as long as it may.
--- a/libs/request/include/request/placement.hpp
+++ b/libs/request/include/request/placement.hpp
@@ -22,7 +22,7 @@
 };
 
 // What a placement goes by.
-struct placement_ask
+struct placement_query
 {
     std::string own_domain;
     // Hash of the prompt's prefix; equal prefixes prefer equal endpoints.
@@ -42,7 +42,7 @@
 // with equally old load reports from all choosing the same one.
 candidate const* choose(
     std::vector<candidate> const& candidates,
-    placement_ask const& ask,
+    placement_query const& ask,
     base::random_state& random);
 
 } // namespace foxtailvale::request
--- a/libs/request/src/placement.cpp
+++ b/libs/request/src/placement.cpp
@@ -18,7 +18,7 @@
 
 options open_options(
     std::vector<candidate> const& candidates,
-    placement_ask const& ask,
+    placement_query const& ask,
     bool own_domain)
 {
     options open;
@@ -73,7 +73,7 @@
 
 candidate const* choose(
     std::vector<candidate> const& candidates,
-    placement_ask const& ask,
+    placement_query const& ask,
     base::random_state& random)
 {
     for (bool const own_domain : {true, false})
--- a/libs/request/tests/placement_tests.cpp
+++ b/libs/request/tests/placement_tests.cpp
@@ -12,7 +12,7 @@
     EXPECT_EQ(choose(candidates, {.own_domain = "a"}, random)->agent, "a1");
     candidates[0].running = 1;
     EXPECT_EQ(choose(candidates, {.own_domain = "a"}, random)->agent, "b1");
-    placement_ask const retry{.own_domain = "a", .tried = {"b1"}};
+    placement_query const retry{.own_domain = "a", .tried = {"b1"}};
     EXPECT_EQ(choose(candidates, retry, random), nullptr);
 }
 
@@ -26,7 +26,7 @@
         candidates.push_back({"a" + std::to_string(index), "a", 100, 0});
     }
     base::random_state random{1};
-    placement_ask const ask{.own_domain = "a", .prefix = 77};
+    placement_query const ask{.own_domain = "a", .prefix = 77};
     for (int count = 0; count < 100; ++count)
     {
         auto const* const chosen = choose(candidates, ask, random);
