--- a/libs/direct/include/direct/placement.hpp
+++ b/libs/direct/include/direct/placement.hpp
@@ -46,7 +46,7 @@
 };
 
 // Why no endpoint was chosen.
-enum class no_choice
+enum class no_endpoint_reason
 {
     // None is listed that could ever take it.
     none_listed,
@@ -77,7 +77,7 @@
 struct choice
 {
     endpoint_state const* chosen = nullptr;
-    no_choice why = no_choice::none_listed;
+    no_endpoint_reason why = no_endpoint_reason::none_listed;
     // The version that the request must begin on; zero for a plain service.
     std::uint64_t version = 0;
     expectation expected;
--- a/libs/direct/src/placement.cpp
+++ b/libs/direct/src/placement.cpp
@@ -440,10 +440,10 @@
         }
         if (!has_weights(book, state, ask, now))
         {
-            found.why = std::max(found.why, no_choice::no_weights);
-            if (found.why == no_choice::none_listed)
+            found.why = std::max(found.why, no_endpoint_reason::no_weights);
+            if (found.why == no_endpoint_reason::none_listed)
             {
-                found.why = no_choice::no_weights;
+                found.why = no_endpoint_reason::no_weights;
             }
             continue;
         }
@@ -452,9 +452,9 @@
             near != book.domain_entries.end() ? &near->second : nullptr;
         if (!takes_work(state, ask, ranks, now))
         {
-            if (found.why != no_choice::no_weights)
+            if (found.why != no_endpoint_reason::no_weights)
             {
-                found.why = no_choice::all_busy;
+                found.why = no_endpoint_reason::all_busy;
             }
             continue;
         }
--- a/libs/direct/tests/placement_tests.cpp
+++ b/libs/direct/tests/placement_tests.cpp
@@ -295,7 +295,7 @@
     base::random_state random{3};
     auto const none = choose(book, ask_from("d0"), start, random);
     EXPECT_EQ(none.chosen, nullptr);
-    EXPECT_EQ(none.why, no_choice::no_weights);
+    EXPECT_EQ(none.why, no_endpoint_reason::no_weights);
     book.endpoints.at("e1").listed.weights.version = 2;
     auto const found = choose(book, ask_from("d0"), start, random);
     ASSERT_NE(found.chosen, nullptr);
@@ -486,7 +486,7 @@
     base::random_state random{3};
     auto const none = choose(book, ask_from("d0"), start, random);
     EXPECT_EQ(none.chosen, nullptr);
-    EXPECT_EQ(none.why, no_choice::all_busy);
+    EXPECT_EQ(none.why, no_endpoint_reason::all_busy);
 }
 
 // One engine fails four answers in ten while its health is good. Its callers
--- a/libs/direct/tests/played_entries.cpp
+++ b/libs/direct/tests/played_entries.cpp
@@ -178,7 +178,7 @@
         send(state, entry, asked, chosen);
         return true;
     }
-    if (chosen.why != no_choice::none_listed)
+    if (chosen.why != no_endpoint_reason::none_listed)
     {
         return false;
     }
--- a/libs/gateway/src/call.cpp
+++ b/libs/gateway/src/call.cpp
@@ -218,14 +218,14 @@
         this->send(chosen);
         return true;
     }
-    if (may_wait && chosen.why != direct::no_choice::none_listed)
+    if (may_wait && chosen.why != direct::no_endpoint_reason::none_listed)
     {
         return false;
     }
     this->fail(
         direct::final_error(this->ran_so_far, false),
-        chosen.why == direct::no_choice::none_listed ? "no endpoint is listed"
-        : chosen.why == direct::no_choice::no_weights
+        chosen.why == direct::no_endpoint_reason::none_listed ? "no endpoint is listed"
+        : chosen.why == direct::no_endpoint_reason::no_weights
             ? "no endpoint has the weights"
             : "all endpoints are busy");
     return true;
