--- a/libs/direct/include/direct/report_sources.hpp
+++ b/libs/direct/include/direct/report_sources.hpp
@@ -76,7 +76,7 @@
     base::time_point now);
 
 // No entry of the domain passes reports on: its agents are asked themselves.
-bool must_ask_agents(
+bool must_poll_agents(
     report_sources const& state,
     std::string const& domain,
     base::time_point now);
--- a/libs/direct/src/report_sources.cpp
+++ b/libs/direct/src/report_sources.cpp
@@ -105,7 +105,7 @@
     }
 }
 
-bool must_ask_agents(
+bool must_poll_agents(
     report_sources const& state,
     std::string const& domain,
     base::time_point now)
--- a/libs/direct/tests/report_sources_tests.cpp
+++ b/libs/direct/tests/report_sources_tests.cpp
@@ -108,7 +108,7 @@
         {
             note_passed(state, "d1", source, now);
         }
-        EXPECT_FALSE(must_ask_agents(state, "d1", now));
+        EXPECT_FALSE(must_poll_agents(state, "d1", now));
     }
 }
 
@@ -130,7 +130,7 @@
                 note_passed(state, "d1", source, now);
             }
         }
-        EXPECT_FALSE(must_ask_agents(state, "d1", now));
+        EXPECT_FALSE(must_poll_agents(state, "d1", now));
     }
     EXPECT_EQ(std::ranges::find(asked, first[0]), asked.end());
     EXPECT_EQ(asked.size(), sources_per_domain);
@@ -141,13 +141,13 @@
 {
     report_sources state{"own", {}};
     auto const entries = names(3);
-    EXPECT_FALSE(must_ask_agents(state, "d1", start));
+    EXPECT_FALSE(must_poll_agents(state, "d1", start));
     choose_sources(state, "d1", entries, start);
-    EXPECT_FALSE(must_ask_agents(state, "d1", start + seconds(1)));
-    EXPECT_TRUE(must_ask_agents(state, "d1", start + milliseconds(1300)));
+    EXPECT_FALSE(must_poll_agents(state, "d1", start + seconds(1)));
+    EXPECT_TRUE(must_poll_agents(state, "d1", start + milliseconds(1300)));
     choose_sources(state, "d1", entries, start + milliseconds(1600));
     note_passed(state, "d1", *entries.begin(), start + milliseconds(2000));
-    EXPECT_FALSE(must_ask_agents(state, "d1", start + milliseconds(2100)));
+    EXPECT_FALSE(must_poll_agents(state, "d1", start + milliseconds(2100)));
 }
 
 // Guards against entries that were restarted being left alone for good.
--- a/libs/gateway/src/domain_reports.cpp
+++ b/libs/gateway/src/domain_reports.cpp
@@ -140,7 +140,7 @@
     std::set<std::string> found{this->home_domain()};
     for (auto const& [domain, known] : this->sources.domains)
     {
-        if (direct::must_ask_agents(this->sources, domain, now))
+        if (direct::must_poll_agents(this->sources, domain, now))
         {
             found.insert(domain);
         }
