--- a/libs/direct/include/direct/report_sources.hpp
+++ b/libs/direct/include/direct/report_sources.hpp
@@ -69,7 +69,7 @@
     base::time_point now);
 
 // An entry of the domain passed reports on.
-void note_passed(
+void note_relayed(
     report_sources& state,
     std::string const& domain,
     std::string const& entry,
--- a/libs/direct/src/report_sources.cpp
+++ b/libs/direct/src/report_sources.cpp
@@ -85,7 +85,7 @@
     return chosen;
 }
 
-void note_passed(
+void note_relayed(
     report_sources& state,
     std::string const& domain,
     std::string const& entry,
--- a/libs/direct/tests/report_sources_tests.cpp
+++ b/libs/direct/tests/report_sources_tests.cpp
@@ -106,7 +106,7 @@
         EXPECT_EQ(choose_sources(state, "d1", entries, now), first);
         for (auto const& source : first)
         {
-            note_passed(state, "d1", source, now);
+            note_relayed(state, "d1", source, now);
         }
         EXPECT_FALSE(must_poll_agents(state, "d1", now));
     }
@@ -127,7 +127,7 @@
         {
             if (source != first[0])
             {
-                note_passed(state, "d1", source, now);
+                note_relayed(state, "d1", source, now);
             }
         }
         EXPECT_FALSE(must_poll_agents(state, "d1", now));
@@ -146,7 +146,7 @@
     EXPECT_FALSE(must_poll_agents(state, "d1", start + seconds(1)));
     EXPECT_TRUE(must_poll_agents(state, "d1", start + milliseconds(1300)));
     choose_sources(state, "d1", entries, start + milliseconds(1600));
-    note_passed(state, "d1", *entries.begin(), start + milliseconds(2000));
+    note_relayed(state, "d1", *entries.begin(), start + milliseconds(2000));
     EXPECT_FALSE(must_poll_agents(state, "d1", start + milliseconds(2100)));
 }
 
--- a/libs/gateway/src/domain_reports.cpp
+++ b/libs/gateway/src/domain_reports.cpp
@@ -258,7 +258,7 @@
 {
     auto const now = clock::now();
     auto& shared = *this->context;
-    direct::note_passed(this->sources, passed.failure_domain(), from, now);
+    direct::note_relayed(this->sources, passed.failure_domain(), from, now);
     for (auto const& report : passed.reports())
     {
         auto const agent =
