--- a/libs/direct/include/direct/endpoint_book.hpp
+++ b/libs/direct/include/direct/endpoint_book.hpp
@@ -180,7 +180,7 @@
 // has sent since that moment counts on top. Failure: two entries pass the same
 // report on, and what this entry has sent since the first is forgotten with the
 // second.
-void note_passed_report(
+void note_relayed_report(
     endpoint_table& book,
     std::string const& address,
     load_report const& report,
--- a/libs/direct/src/endpoint_book.cpp
+++ b/libs/direct/src/endpoint_book.cpp
@@ -226,7 +226,7 @@
     }
 }
 
-void note_passed_report(
+void note_relayed_report(
     endpoint_table& book,
     std::string const& address,
     load_report const& report,
--- a/libs/direct/tests/endpoint_book_tests.cpp
+++ b/libs/direct/tests/endpoint_book_tests.cpp
@@ -88,22 +88,22 @@
     endpoint_table book;
     put(book, engine("a"));
     auto const came = start - milliseconds(150);
-    note_passed_report(book, "10.0.0.1", {.running = 3}, came);
+    note_relayed_report(book, "10.0.0.1", {.running = 3}, came);
     note_request_begun(book, "a", start);
     auto const& state = book.endpoints.at("a");
-    note_passed_report(
+    note_relayed_report(
         book, "10.0.0.1", {.running = 3}, came + milliseconds(3));
     EXPECT_EQ(state.own_change, 1);
-    note_passed_report(
+    note_relayed_report(
         book, "10.0.0.1", {.running = 9}, came - milliseconds(100));
     EXPECT_EQ(state.report->running, 3U);
-    note_passed_report(
+    note_relayed_report(
         book, "10.0.0.1", {.running = 5}, came + milliseconds(100));
     EXPECT_EQ(state.report->running, 5U);
     EXPECT_EQ(state.reported, came + milliseconds(100));
     // It came before the request was sent, and cannot show it.
     EXPECT_EQ(state.own_change, 1);
-    note_passed_report(
+    note_relayed_report(
         book, "10.0.0.1", {.running = 6}, start + milliseconds(100));
     EXPECT_EQ(state.own_change, 0);
 }
--- a/libs/gateway/src/domain_reports.cpp
+++ b/libs/gateway/src/domain_reports.cpp
@@ -263,7 +263,7 @@
     {
         auto const agent =
             boost::asio::ip::address_v4(report.agent()).to_string();
-        direct::note_passed_report(
+        direct::note_relayed_report(
             shared.book, agent, read_report(passed, report, now),
             now - milliseconds(report.age_ms()));
         if (report.unreachable())
