--- a/libs/direct/include/direct/report_sources.hpp
+++ b/libs/direct/include/direct/report_sources.hpp
@@ -55,7 +55,7 @@
 inline constexpr std::size_t sources_per_domain = 2;
 
 // Reports are passed on, and asked for anew, this often.
-inline constexpr std::chrono::milliseconds pass_interval{400};
+inline constexpr std::chrono::milliseconds relay_interval{400};
 
 // One that passed nothing on for this long is replaced, and rests.
 inline constexpr std::chrono::milliseconds source_patience{1200};
--- a/libs/direct/tests/report_sources_tests.cpp
+++ b/libs/direct/tests/report_sources_tests.cpp
@@ -101,7 +101,7 @@
     auto const entries = names(30);
     auto const first = choose_sources(state, "d1", entries, start);
     ASSERT_EQ(first.size(), sources_per_domain);
-    for (auto now = start; now < start + seconds(20); now += pass_interval)
+    for (auto now = start; now < start + seconds(20); now += relay_interval)
     {
         EXPECT_EQ(choose_sources(state, "d1", entries, now), first);
         for (auto const& source : first)
@@ -119,7 +119,7 @@
     auto const entries = names(30);
     auto const first = choose_sources(state, "d1", entries, start);
     std::vector<std::string> asked = first;
-    for (auto now = start; now < start + seconds(3); now += pass_interval)
+    for (auto now = start; now < start + seconds(3); now += relay_interval)
     {
         asked = choose_sources(state, "d1", entries, now);
         EXPECT_NE(std::ranges::find(asked, first[1]), asked.end());
@@ -156,7 +156,7 @@
     report_sources state{"own", {}};
     auto const entries = names(2);
     std::set<std::string> asked;
-    for (auto now = start; now < start + seconds(9); now += pass_interval)
+    for (auto now = start; now < start + seconds(9); now += relay_interval)
     {
         auto const chosen = choose_sources(state, "d1", entries, now);
         if (now > start + seconds(3) && !chosen.empty())
--- a/libs/gateway/src/domain_reports.cpp
+++ b/libs/gateway/src/domain_reports.cpp
@@ -116,7 +116,7 @@
 {
     this->ask_sources();
     this->pass_on();
-    this->timer.expires_after(direct::pass_interval);
+    this->timer.expires_after(direct::relay_interval);
     this->timer.async_wait(
         [self = this->shared_from_this()](boost::system::error_code error)
         {
