--- a/libs/direct/include/direct/endpoint_book.hpp
+++ b/libs/direct/include/direct/endpoint_book.hpp
@@ -253,7 +253,7 @@
 bool is_stalled(endpoint_state const& state, base::time_point now);
 
 // Time after which an agent that reported before counts as silent.
-inline constexpr std::chrono::milliseconds report_silence{700};
+inline constexpr std::chrono::milliseconds report_timeout{700};
 
 // Its agent reported before and is silent now, and the endpoint has sent
 // nothing since either: its machine may stand still.
--- a/libs/direct/include/direct/placement.hpp
+++ b/libs/direct/include/direct/placement.hpp
@@ -65,7 +65,7 @@
     std::uint32_t work = 0;
     // Requests that the agent's report shows in the endpoint's line.
     std::uint32_t line = 0;
-    // Nothing without a report. With one older than report_silence, too, the
+    // Nothing without a report. With one older than report_timeout, too, the
     // choice went by the list and by own requests.
     std::optional<std::chrono::milliseconds> report_age;
     // The latest moment at which the request was thought to begin.
--- a/libs/direct/src/endpoint_book.cpp
+++ b/libs/direct/src/endpoint_book.cpp
@@ -399,13 +399,13 @@
 
 bool is_fresh(endpoint_state const& state, base::time_point now)
 {
-    return state.report && now - state.reported <= report_silence;
+    return state.report && now - state.reported <= report_timeout;
 }
 
 bool is_silent(endpoint_state const& state, base::time_point now)
 {
     return state.report && !is_fresh(state, now) &&
-           now - state.last_sent > report_silence;
+           now - state.last_sent > report_timeout;
 }
 
 served_weights const&
--- a/libs/direct/tests/attempt_limit_tests.cpp
+++ b/libs/direct/tests/attempt_limit_tests.cpp
@@ -112,7 +112,7 @@
     state.report.emplace();
     state.reported = start;
     EXPECT_FALSE(is_lost(state, start));
-    EXPECT_TRUE(is_lost(state, start + report_silence + milliseconds(1)));
+    EXPECT_TRUE(is_lost(state, start + report_timeout + milliseconds(1)));
     state.own_running = 1;
     state.last_heard = start - stall_time - milliseconds(1);
     EXPECT_TRUE(is_lost(state, start));
--- a/tools/ctl/src/explain.cpp
+++ b/tools/ctl/src/explain.cpp
@@ -86,7 +86,7 @@
     auto const age = number_of(body, "report_age_ms");
     auto const source =
         age < 0 ? std::string("the list and its own requests, without a report")
-        : age > direct::report_silence.count()
+        : age > direct::report_timeout.count()
             ? "the list and its own requests, as the last report was " +
                   std::to_string(age) + " ms old"
             : "a report " + std::to_string(age) + " ms old";
