--- a/libs/direct/tests/attempt_limit_tests.cpp
+++ b/libs/direct/tests/attempt_limit_tests.cpp
@@ -44,14 +44,14 @@
 
 TEST(attempt_limit, a_busy_endpoint_is_waited_for_longer_than_a_lost_one)
 {
-    EXPECT_EQ(give_up_at(stream()), start + milliseconds(1600));
+    EXPECT_EQ(attempt_deadline(stream()), start + milliseconds(1600));
     EXPECT_EQ(
-        give_up_at(at_lost_endpoint(stream())), start + milliseconds(800));
+        attempt_deadline(at_lost_endpoint(stream())), start + milliseconds(800));
 }
 
 TEST(attempt_limit, the_last_attempt_waits_for_an_endpoint_that_lives)
 {
-    EXPECT_FALSE(give_up_at(last_of(stream())));
+    EXPECT_FALSE(attempt_deadline(last_of(stream())));
 }
 
 // Guards against callers who wait at a second endpoint that stands still until
@@ -59,7 +59,7 @@
 TEST(attempt_limit, the_last_attempt_ends_at_a_lost_endpoint)
 {
     EXPECT_EQ(
-        give_up_at(at_lost_endpoint(last_of(stream()))),
+        attempt_deadline(at_lost_endpoint(last_of(stream()))),
         start + milliseconds(800));
 }
 
@@ -71,7 +71,7 @@
     attempt.events = 5;
     attempt.last_byte = start + seconds(1);
     attempt.caller_heard = attempt.last_byte;
-    EXPECT_EQ(give_up_at(attempt), attempt.last_byte + milliseconds(900));
+    EXPECT_EQ(attempt_deadline(attempt), attempt.last_byte + milliseconds(900));
 }
 
 // Guards against a late repeat at a lost endpoint whose end comes after the
@@ -81,9 +81,9 @@
     auto attempt = at_lost_endpoint(last_of(stream()));
     attempt.begun = start + milliseconds(1700);
     attempt.last_byte = attempt.begun;
-    EXPECT_EQ(give_up_at(attempt), start + milliseconds(2100));
+    EXPECT_EQ(attempt_deadline(attempt), start + milliseconds(2100));
     attempt.repeats = repetition::non_idempotent;
-    EXPECT_EQ(give_up_at(attempt), start + milliseconds(2100));
+    EXPECT_EQ(attempt_deadline(attempt), start + milliseconds(2100));
 }
 
 // Guards against an answer that nobody can ask for again being given up.
@@ -92,7 +92,7 @@
     auto attempt = at_lost_endpoint(last_of(stream()));
     attempt.repeats = repetition::non_idempotent;
     attempt.streams = false;
-    EXPECT_FALSE(give_up_at(attempt));
+    EXPECT_FALSE(attempt_deadline(attempt));
 }
 
 // A lookup may be asked again by its caller.
@@ -102,7 +102,7 @@
     attempt.repeats = repetition::idempotent;
     attempt.streams = false;
     attempt.goal = milliseconds(120);
-    EXPECT_EQ(give_up_at(attempt), start + milliseconds(600));
+    EXPECT_EQ(attempt_deadline(attempt), start + milliseconds(600));
 }
 
 TEST(attempt_limit, an_endpoint_is_lost_when_it_or_its_agent_is_silent)
--- a/libs/direct/tests/played_entries.cpp
+++ b/libs/direct/tests/played_entries.cpp
@@ -197,7 +197,7 @@
     }
     auto const& book = state.entries[asked.entry].book;
     auto const& known = book.endpoints.at(id_of_engine(*asked.engine));
-    return give_up_at(
+    return attempt_deadline(
         {.repeats = routing::repetition::resumable,
          .streams = true,
          .goal = caller_goal,
--- a/libs/gateway/src/call.cpp
+++ b/libs/gateway/src/call.cpp
@@ -379,7 +379,7 @@
     {
         return now_running.begun + connect_limit;
     }
-    return direct::give_up_at(
+    return direct::attempt_deadline(
         {.repeats = chosen.repeats,
          .streams = chosen.streams,
          .goal = chosen.goal,
