--- a/libs/direct/include/direct/placement.hpp
+++ b/libs/direct/include/direct/placement.hpp
@@ -37,7 +37,7 @@
     part_memory* parts = nullptr;
     // This entry may not know all others, of which there may be so many.
     bool newcomer = false;
-    std::size_t assumed_entries = most_entries;
+    std::size_t assumed_entries = max_entries;
     // Go on with this version only, if it is not zero.
     std::uint64_t version = 0;
     // How long the request will run; it is not sent where the endpoint stops
--- a/libs/direct/include/direct/shares.hpp
+++ b/libs/direct/include/direct/shares.hpp
@@ -118,10 +118,10 @@
     cold_bound const& bound);
 
 // More entries than any fleet is made for.
-inline constexpr std::size_t most_entries = 512;
+inline constexpr std::size_t max_entries = 512;
 
 // How many entries there may be, for one that may know few of them:
-// most_entries when no agent told of any, else from those told of and those
+// max_entries when no agent told of any, else from those told of and those
 // that asked a watcher, or the listed endpoints of the service if none did.
 std::size_t assumed_entries(entry_count const& count, std::size_t endpoints);
 
--- a/libs/direct/src/shares.cpp
+++ b/libs/direct/src/shares.cpp
@@ -138,13 +138,13 @@
 {
     if (count.most_seen == 0)
     {
-        return most_entries;
+        return max_entries;
     }
     // Fleets have about as many entries as engines, or fewer.
     auto const others = count.hinted > 0 ? count.hinted : endpoints;
     return std::clamp(
         std::max(2 * count.most_seen, others * 3 / 2), count.assumed,
-        most_entries);
+        max_entries);
 }
 
 bool draws_part(
--- a/standins/src/begun_log.cpp
+++ b/standins/src/begun_log.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr std::size_t most_entries = 100'000;
+constexpr std::size_t max_entries = 100'000;
 
 } // namespace
 
@@ -17,7 +17,7 @@
     auto const now = std::chrono::duration_cast<std::chrono::milliseconds>(
         std::chrono::system_clock::now().time_since_epoch());
     this->entries.push_back({now.count(), std::move(request)});
-    if (this->entries.size() > most_entries)
+    if (this->entries.size() > max_entries)
     {
         this->entries.pop_front();
     }
