--- a/libs/direct/include/direct/placement.hpp
+++ b/libs/direct/include/direct/placement.hpp
@@ -93,7 +93,7 @@
 // The deadline that the endpoint is handed with a request whose caller waits
 // until this one.
 base::time_point
-handed_deadline(choice const& chosen, base::time_point deadline);
+endpoint_deadline(choice const& chosen, base::time_point deadline);
 
 // Until when a request that was sent on this version, with this deadline, must
 // have begun; nothing while the version does not end. The sender then closes
--- a/libs/direct/src/placement.cpp
+++ b/libs/direct/src/placement.cpp
@@ -400,7 +400,7 @@
 }
 
 base::time_point
-handed_deadline(choice const& chosen, base::time_point deadline)
+endpoint_deadline(choice const& chosen, base::time_point deadline)
 {
     return std::min(deadline, chosen.works_until.value_or(deadline));
 }
--- a/libs/direct/tests/played_entries.cpp
+++ b/libs/direct/tests/played_entries.cpp
@@ -135,7 +135,7 @@
     asked.engine = number;
     asked.written = false;
     asked.decided = state.now;
-    asked.handed = handed_deadline(chosen, asked.deadline);
+    asked.handed = endpoint_deadline(chosen, asked.deadline);
     asked.last_byte = state.now;
     asked.events = 0;
     state.sent[asked.attempt] = {
--- a/libs/gateway/src/call.cpp
+++ b/libs/gateway/src/call.cpp
@@ -401,7 +401,7 @@
     }
     return direct::must_begin_by(
         this->context->book, this->said.model, this->version,
-        this->current->handed_deadline);
+        this->current->endpoint_deadline);
 }
 
 void call::on_caller_gone()
--- a/libs/gateway/src/call.hpp
+++ b/libs/gateway/src/call.hpp
@@ -35,7 +35,7 @@
     std::string body;
     event_splitter events;
     bool is_stream = false;
-    base::time_point handed_deadline;
+    base::time_point endpoint_deadline;
     // Its bytes were given to the connection.
     bool is_handed_on = false;
     // Events of this attempt that were passed on.
--- a/libs/gateway/src/call_attempt.cpp
+++ b/libs/gateway/src/call_attempt.cpp
@@ -61,8 +61,8 @@
     this->current->begun = now;
     this->current->decided = base::boot_now();
     this->current->last_byte = now;
-    this->current->handed_deadline =
-        direct::handed_deadline(chosen, this->deadline);
+    this->current->endpoint_deadline =
+        direct::endpoint_deadline(chosen, this->deadline);
     direct::note_request_begun(this->context->book, target.id, now);
     this->note_placed(chosen);
     auto const number = this->attempt_number;
@@ -94,7 +94,7 @@
         return std::nullopt;
     }
     auto const left = std::chrono::duration_cast<milliseconds>(
-        this->current->handed_deadline - clock::now());
+        this->current->endpoint_deadline - clock::now());
     if (left <= milliseconds(0) ||
         base::boot_now() >= this->current->decided + connect_limit)
     {
