--- a/libs/direct/include/direct/shares.hpp
+++ b/libs/direct/include/direct/shares.hpp
@@ -129,7 +129,7 @@
 // if there were so many. Failure: all processes of 45 entries are killed; for a
 // second each knows some of the others, takes its part for large, and a cold
 // endpoint got 39 requests in a second where it bears 38.
-bool draws_part(
+bool has_estimated_share(
     std::string const& own,
     std::string const& endpoint,
     cold_bound const& bound,
--- a/libs/direct/src/placement.cpp
+++ b/libs/direct/src/placement.cpp
@@ -278,7 +278,7 @@
     }
     auto const sharing = ask.newcomer ? ask.assumed_entries : ask.entries;
     if (ask.newcomer &&
-        !draws_part(ask.own_entry, state.listed.id, ask.cold, sharing))
+        !has_estimated_share(ask.own_entry, state.listed.id, ask.cold, sharing))
     {
         return false;
     }
--- a/libs/direct/src/shares.cpp
+++ b/libs/direct/src/shares.cpp
@@ -147,7 +147,7 @@
         max_entries);
 }
 
-bool draws_part(
+bool has_estimated_share(
     std::string const& own,
     std::string const& endpoint,
     cold_bound const& bound,
--- a/libs/direct/tests/shares_tests.cpp
+++ b/libs/direct/tests/shares_tests.cpp
@@ -103,7 +103,7 @@
             auto const own = "10.0." + std::to_string(entry / 256) + "." +
                              std::to_string(entry % 256);
             std::deque<base::time_point> recent;
-            while (draws_part(own, endpoint, bound, assumed) &&
+            while (has_estimated_share(own, endpoint, bound, assumed) &&
                    may_send_within_part(recent, bound, assumed, start))
             {
                 recent.push_back(start);
