--- a/libs/direct/include/direct/placement.hpp
+++ b/libs/direct/include/direct/placement.hpp
@@ -34,7 +34,7 @@
     std::set<std::string> const* all_entries = nullptr;
     std::string own_entry;
     // What was worked out of this entry's parts; null keeps nothing.
-    part_memory* parts = nullptr;
+    share_cache* parts = nullptr;
     // This entry may not know all others, of which there may be so many.
     bool newcomer = false;
     std::size_t assumed_entries = max_entries;
--- a/libs/direct/include/direct/shares.hpp
+++ b/libs/direct/include/direct/shares.hpp
@@ -91,7 +91,7 @@
 // a choice does not rank all entries for all endpoints. Names of all entries
 // and of a domain's are only ever added, so their counts tell whether they
 // changed.
-struct part_memory
+struct share_cache
 {
     struct answer
     {
@@ -110,7 +110,7 @@
 // The same as has_part, from memory where it can be. `own` and `bound` are the
 // same in all calls for an endpoint.
 bool has_part(
-    part_memory& memory,
+    share_cache& memory,
     std::set<std::string> const& entries,
     entry_ranks const& ranks,
     std::string const& own,
--- a/libs/direct/src/placement.cpp
+++ b/libs/direct/src/placement.cpp
@@ -246,7 +246,7 @@
     placement_query const& ask,
     entry_ranks const& ranks)
 {
-    part_memory none;
+    share_cache none;
     return has_part(
         ask.parts != nullptr ? *ask.parts : none, *ask.all_entries, ranks,
         ask.own_entry, state.listed.id, ask.cold);
--- a/libs/direct/src/shares.cpp
+++ b/libs/direct/src/shares.cpp
@@ -114,7 +114,7 @@
 }
 
 bool has_part(
-    part_memory& memory,
+    share_cache& memory,
     std::set<std::string> const& entries,
     entry_ranks const& ranks,
     std::string const& own,
--- a/libs/direct/tests/placement_tests.cpp
+++ b/libs/direct/tests/placement_tests.cpp
@@ -117,7 +117,7 @@
     {
         names.insert("10.1.0." + std::to_string(entry));
     }
-    part_memory parts;
+    share_cache parts;
     auto ask = ask_from("d0");
     ask.entries = names.size();
     ask.all_entries = &names;
--- a/libs/gateway/include/gateway/entry_context.hpp
+++ b/libs/gateway/include/gateway/entry_context.hpp
@@ -65,7 +65,7 @@
     // How long the machine was suspended since its start, as last seen.
     std::chrono::milliseconds suspended{0};
     direct::entry_count entries;
-    direct::part_memory parts;
+    direct::share_cache parts;
     // IP addresses of all entries that were seen, this one among them.
     std::set<std::string> entry_addresses;
     // Entries of each failure domain that were last named alive together.
