--- a/libs/direct/include/direct/repeat.hpp
+++ b/libs/direct/include/direct/repeat.hpp
@@ -35,7 +35,7 @@
 bool is_answer(attempt_facts const& facts);
 
 // What is known when an attempt failed.
-struct repeat_ask
+struct retry_query
 {
     routing::repetition repeats = routing::repetition::non_idempotent;
     base::ran_state ran = base::ran_state::unknown;
@@ -54,7 +54,7 @@
 inline constexpr std::uint32_t most_sends = 4;
 
 // Whether the request may be sent to one more endpoint, time and budget aside.
-bool may_repeat(repeat_ask const& ask);
+bool may_repeat(retry_query const& ask);
 
 // The kind that the caller is told when no attempt is left.
 base::error_kind final_error(base::ran_state ran, bool time_is_up);
--- a/libs/direct/tests/played_entries.cpp
+++ b/libs/direct/tests/played_entries.cpp
@@ -289,7 +289,7 @@
         ++asked.runs;
         asked.ran = ran;
     }
-    repeat_ask const ask{
+    retry_query const ask{
         .repeats = routing::repetition::resumable,
         .ran = ran,
         .runs = asked.runs,
--- a/libs/direct/tests/repeat_tests.cpp
+++ b/libs/direct/tests/repeat_tests.cpp
@@ -12,9 +12,9 @@
 using base::ran_state;
 using routing::repetition;
 
-repeat_ask failed_once(repetition repeats, ran_state ran)
+retry_query failed_once(repetition repeats, ran_state ran)
 {
-    repeat_ask ask;
+    retry_query ask;
     ask.repeats = repeats;
     ask.ran = ran;
     ask.runs = ran == ran_state::no ? 0 : 1;
@@ -106,7 +106,7 @@
     for (auto course = 0; course < 20000; ++course)
     {
         auto may_have_run = false;
-        repeat_ask ask;
+        retry_query ask;
         ask.most_attempts =
             1 + static_cast<std::uint32_t>(base::random_below(random, 4));
         while (true)
--- a/libs/gateway/src/call_attempt.cpp
+++ b/libs/gateway/src/call_attempt.cpp
@@ -313,7 +313,7 @@
         this->ran_so_far = ran;
     }
     auto const time_is_up = this->time_left() <= milliseconds(0);
-    direct::repeat_ask const ask{
+    direct::retry_query const ask{
         .repeats = this->allowed.chosen->repeats,
         .ran = ran,
         .runs = this->runs,
