--- a/libs/direct/include/direct/repeat.hpp
+++ b/libs/direct/include/direct/repeat.hpp
@@ -54,7 +54,7 @@
 inline constexpr std::uint32_t most_sends = 4;
 
 // Whether the request may be sent to one more endpoint, time and budget aside.
-bool may_repeat(retry_query const& ask);
+bool is_retry_allowed(retry_query const& ask);
 
 // The kind that the caller is told when no attempt is left.
 base::error_kind final_error(base::ran_state ran, bool time_is_up);
--- a/libs/direct/src/repeat.cpp
+++ b/libs/direct/src/repeat.cpp
@@ -30,7 +30,7 @@
            !facts.says_not_run;
 }
 
-bool may_repeat(retry_query const& ask)
+bool is_retry_allowed(retry_query const& ask)
 {
     if (ask.sends >= most_sends)
     {
--- a/libs/direct/tests/played_entries.cpp
+++ b/libs/direct/tests/played_entries.cpp
@@ -297,7 +297,7 @@
         .sends = asked.sends,
         .answer_begun = asked.answer_begun};
     auto& entry = state.entries[asked.entry];
-    if (asked.deadline <= state.now || !may_repeat(ask) ||
+    if (asked.deadline <= state.now || !is_retry_allowed(ask) ||
         !spend_repeat(entry.repeats, bound, state.entries.size(), state.now))
     {
         fail(state, asked);
--- a/libs/entry_core/src/request_flow.cpp
+++ b/libs/entry_core/src/request_flow.cpp
@@ -46,7 +46,7 @@
 
 // A generated answer may be generated again; of a service's calls those that
 // only read, or all when the release says so.
-bool may_repeat(state const& state, caller_request const& request)
+bool is_retry_allowed(state const& state, caller_request const& request)
 {
     if (!request.model.empty() || request.method == "GET")
     {
@@ -152,7 +152,7 @@
     open_request open;
     open.fingerprint = fingerprint;
     open.request = request;
-    open.request.idempotent = may_repeat(state, request);
+    open.request.idempotent = is_retry_allowed(state, request);
     open.generation = state.control.configuration.generation;
     open.deadline = now + request.time_left;
     auto& added = state.requests.open.emplace(request.caller, std::move(open))
--- a/libs/gateway/src/call_attempt.cpp
+++ b/libs/gateway/src/call_attempt.cpp
@@ -322,7 +322,7 @@
         .answer_begun = this->answer_begun};
     auto const suspect =
         request::is_suspect(this->context->suspects, this->print);
-    if (time_is_up || suspect || !direct::may_repeat(ask))
+    if (time_is_up || suspect || !direct::is_retry_allowed(ask))
     {
         this->fail(direct::final_error(this->ran_so_far, time_is_up), reason);
         return;
