--- a/libs/direct/include/direct/shares.hpp
+++ b/libs/direct/include/direct/shares.hpp
@@ -180,7 +180,7 @@
 void note_request(retry_window& state, base::time_point now);
 
 // Spends one repeat, or says that there is none left.
-bool spend_repeat(
+bool spend_retry(
     retry_window& state,
     retry_bound const& bound,
     std::size_t entries,
--- a/libs/direct/src/shares.cpp
+++ b/libs/direct/src/shares.cpp
@@ -190,7 +190,7 @@
     ++state.requests[slot_of(state.second)];
 }
 
-bool spend_repeat(
+bool spend_retry(
     retry_window& state,
     retry_bound const& bound,
     std::size_t entries,
--- a/libs/direct/tests/played_entries.cpp
+++ b/libs/direct/tests/played_entries.cpp
@@ -298,7 +298,7 @@
         .answer_begun = asked.answer_begun};
     auto& entry = state.entries[asked.entry];
     if (asked.deadline <= state.now || !is_retry_allowed(ask) ||
-        !spend_repeat(entry.repeats, bound, state.entries.size(), state.now))
+        !spend_retry(entry.repeats, bound, state.entries.size(), state.now))
     {
         fail(state, asked);
         return;
--- a/libs/direct/tests/shares_tests.cpp
+++ b/libs/direct/tests/shares_tests.cpp
@@ -386,7 +386,7 @@
         {
             auto const now = start + seconds(second) + milliseconds(request);
             note_request(window, now);
-            repeats += spend_repeat(window, bound, 8, now) ? 1 : 0;
+            repeats += spend_retry(window, bound, 8, now) ? 1 : 0;
         }
     }
     EXPECT_LE(repeats, 0.2 * 300 + 104 / 8.0);
@@ -397,12 +397,12 @@
 {
     retry_window window;
     retry_bound const bound{0.2, seconds(10), 16};
-    while (spend_repeat(window, bound, 8, start))
+    while (spend_retry(window, bound, 8, start))
     {
     }
-    EXPECT_FALSE(spend_repeat(window, bound, 8, start + seconds(9)));
-    EXPECT_TRUE(spend_repeat(window, bound, 8, start + seconds(10)));
-    EXPECT_TRUE(spend_repeat(window, bound, 8, start + seconds(500)));
+    EXPECT_FALSE(spend_retry(window, bound, 8, start + seconds(9)));
+    EXPECT_TRUE(spend_retry(window, bound, 8, start + seconds(10)));
+    EXPECT_TRUE(spend_retry(window, bound, 8, start + seconds(500)));
 }
 
 // Endpoints fail twice, 9.1 s apart. Repeats were counted by whole seconds, and
@@ -421,7 +421,7 @@
             auto spent = 0;
             for (auto const at : {first, first + between})
             {
-                while (spend_repeat(window, bound, 1, start + at))
+                while (spend_retry(window, bound, 1, start + at))
                 {
                     ++spent;
                 }
--- a/libs/gateway/src/call_attempt.cpp
+++ b/libs/gateway/src/call_attempt.cpp
@@ -328,7 +328,7 @@
         return;
     }
     auto const& bounds = this->context->settings.promised;
-    if (!direct::spend_repeat(
+    if (!direct::spend_retry(
             this->context->repeats[this->service_name],
             {bounds.retry_ratio, bounds.retry_window, bounds.retry_slack},
             direct::sharers(this->context->entries), clock::now()))
--- a/libs/gateway/src/call_end.cpp
+++ b/libs/gateway/src/call_end.cpp
@@ -61,7 +61,7 @@
         this->ran_so_far = ran_state::yes;
         auto const spent =
             this->time_left() > milliseconds(0) && this->is_still_allowed() &&
-            direct::spend_repeat(
+            direct::spend_retry(
                 this->context->repeats[this->service_name],
                 {this->context->settings.promised.retry_ratio,
                  this->context->settings.promised.retry_window,
