--- a/libs/direct/src/store_return.cpp
+++ b/libs/direct/src/store_return.cpp
@@ -103,7 +103,7 @@
     return believed;
 }
 
-bool take_out(endpoint_table& book, std::string const& domain)
+bool take_out_of_service(endpoint_table& book, std::string const& domain)
 {
     book.doubt.held_out.erase(domain);
     return book.domains_out.insert(domain).second;
--- a/libs/direct/tests/store_return_tests.cpp
+++ b/libs/direct/tests/store_return_tests.cpp
@@ -152,7 +152,7 @@
 TEST(store_return, a_domain_that_the_copy_lacks_stays_out_for_a_while)
 {
     endpoint_table book;
-    take_out(book, "a");
+    take_out_of_service(book, "a");
     note_return(book, start);
     EXPECT_TRUE(replace_domains(book, {}, start).empty());
     EXPECT_TRUE(expire_domains(book, start + milliseconds(29999)).empty());
@@ -167,10 +167,10 @@
 TEST(store_return, a_domain_that_is_written_again_is_out_as_before)
 {
     endpoint_table book;
-    take_out(book, "a");
+    take_out_of_service(book, "a");
     note_return(book, start);
     replace_domains(book, {}, start);
-    take_out(book, "a");
+    take_out_of_service(book, "a");
     EXPECT_TRUE(expire_domains(book, start + held_out_time).empty());
     EXPECT_TRUE(book.domains_out.contains("a"));
     EXPECT_TRUE(take_in(book, "a"));
@@ -179,7 +179,7 @@
 TEST(store_return, without_a_return_a_domain_comes_back_with_the_list)
 {
     endpoint_table book;
-    take_out(book, "a");
+    take_out_of_service(book, "a");
     EXPECT_EQ(replace_domains(book, {}, start), std::vector<std::string>{"a"});
     EXPECT_TRUE(book.domains_out.empty());
 }
--- a/libs/gateway/src/entry_views.cpp
+++ b/libs/gateway/src/entry_views.cpp
@@ -296,7 +296,7 @@
     {
         log_domains_in({object.name});
     }
-    if (!object.removed && direct::take_out(book, object.name))
+    if (!object.removed && direct::take_out_of_service(book, object.name))
     {
         kernel::log_event(
             kernel::event_id::domain_out, {{"failure_domain", object.name}});
--- a/tools/scenario/src/scenario_run.cpp
+++ b/tools/scenario/src/scenario_run.cpp
@@ -391,7 +391,7 @@
             this->queue_note(
                 [this, &step]
                 {
-                    this->take_out(step.target);
+                    this->take_out_of_service(step.target);
                 });
             break;
         case step_kind::domain_in:
@@ -506,7 +506,7 @@
         }
     }
 
-    void take_out(std::string const& domain)
+    void take_out_of_service(std::string const& domain)
     {
         this->apply_again({{"failure_domains", {{domain, "out"}}}});
         auto const now = wall_now();
