--- a/libs/direct/include/direct/store_return.hpp
+++ b/libs/direct/include/direct/store_return.hpp
@@ -57,7 +57,7 @@
 
 // Takes a failure domain out of service, or back; false when nothing changed.
 bool take_out_of_service(endpoint_table& book, std::string const& domain);
-bool take_in(endpoint_table& book, std::string const& domain);
+bool return_to_service(endpoint_table& book, std::string const& domain);
 
 // Replaces the list of failure domains that are out of service. Returns those
 // that came back.
--- a/libs/direct/src/store_return.cpp
+++ b/libs/direct/src/store_return.cpp
@@ -109,7 +109,7 @@
     return book.domains_out.insert(domain).second;
 }
 
-bool take_in(endpoint_table& book, std::string const& domain)
+bool return_to_service(endpoint_table& book, std::string const& domain)
 {
     book.doubt.held_out.erase(domain);
     return book.domains_out.erase(domain) > 0;
@@ -133,7 +133,7 @@
             doubt.held_out.insert(domain);
             continue;
         }
-        take_in(book, domain);
+        return_to_service(book, domain);
         back.push_back(domain);
     }
     return back;
--- a/libs/direct/tests/store_return_tests.cpp
+++ b/libs/direct/tests/store_return_tests.cpp
@@ -173,7 +173,7 @@
     take_out_of_service(book, "a");
     EXPECT_TRUE(expire_domains(book, start + held_out_time).empty());
     EXPECT_TRUE(book.domains_out.contains("a"));
-    EXPECT_TRUE(take_in(book, "a"));
+    EXPECT_TRUE(return_to_service(book, "a"));
 }
 
 TEST(store_return, without_a_return_a_domain_comes_back_with_the_list)
--- a/libs/gateway/src/entry_views.cpp
+++ b/libs/gateway/src/entry_views.cpp
@@ -292,7 +292,7 @@
 void entry_views::take_domain(platform::store_object const& object)
 {
     auto& book = this->context->book;
-    if (object.removed && direct::take_in(book, object.name))
+    if (object.removed && direct::return_to_service(book, object.name))
     {
         log_domains_in({object.name});
     }
