--- a/libs/direct/include/direct/store_return.hpp
+++ b/libs/direct/include/direct/store_return.hpp
@@ -30,7 +30,7 @@
 inline constexpr std::size_t most_left = 4096;
 
 // The store came back from a copy.
-void note_return(endpoint_table& book, base::time_point now);
+void note_store_restored(endpoint_table& book, base::time_point now);
 
 // Whether a list may lack endpoints that live and will write themselves again.
 bool may_lack_endpoints(endpoint_table const& book, base::time_point now);
--- a/libs/direct/src/store_return.cpp
+++ b/libs/direct/src/store_return.cpp
@@ -35,7 +35,7 @@
 
 } // namespace
 
-void note_return(endpoint_table& book, base::time_point now)
+void note_store_restored(endpoint_table& book, base::time_point now)
 {
     book.doubt.returned = now;
 }
--- a/libs/direct/tests/store_return_tests.cpp
+++ b/libs/direct/tests/store_return_tests.cpp
@@ -57,7 +57,7 @@
 TEST(store_return, what_left_is_not_used_while_the_copy_may_be_wrong)
 {
     auto book = before_return();
-    note_return(book, start + milliseconds(100));
+    note_store_restored(book, start + milliseconds(100));
     list_copy(book, start + milliseconds(200));
     EXPECT_FALSE(takes_work(book, "gone"));
     EXPECT_FALSE(takes_work(book, "leaving"));
@@ -70,7 +70,7 @@
 TEST(store_return, what_is_still_listed_after_three_heartbeats_is_believed)
 {
     auto book = before_return();
-    note_return(book, start);
+    note_store_restored(book, start);
     list_copy(book, start);
     expire(book, start + copy_time);
     EXPECT_TRUE(takes_work(book, "gone"));
@@ -81,7 +81,7 @@
 TEST(store_return, what_writes_itself_anew_is_believed_at_once)
 {
     auto book = before_return();
-    note_return(book, start);
+    note_store_restored(book, start);
     list_copy(book, start);
     put(book, record("gone", false));
     EXPECT_TRUE(takes_work(book, "gone"));
@@ -93,7 +93,7 @@
 {
     endpoint_table book;
     put(book, record("joined", false));
-    note_return(book, start);
+    note_store_restored(book, start);
     replace_all(book, {}, true, start);
     expire(book, start + lapse_time);
     EXPECT_FALSE(takes_work(book, "joined"));
@@ -108,7 +108,7 @@
 {
     endpoint_table book;
     put(book, record("joined", false));
-    note_return(book, start);
+    note_store_restored(book, start);
     replace_all(book, {}, false, start);
     EXPECT_TRUE(takes_work(book, "joined"));
     expire(book, start + lapse_time);
@@ -121,7 +121,7 @@
 TEST(store_return, what_wrote_itself_anew_is_believed_in_later_lists)
 {
     auto book = before_return();
-    note_return(book, start);
+    note_store_restored(book, start);
     list_copy(book, start);
     put(book, record("gone", false));
     list_copy(book, start + milliseconds(300));
@@ -132,7 +132,7 @@
 TEST(store_return, what_is_removed_meanwhile_does_not_come_back)
 {
     auto book = before_return();
-    note_return(book, start);
+    note_store_restored(book, start);
     list_copy(book, start);
     remove(book, "gone", false, start + milliseconds(3600));
     expire(book, start + copy_time);
@@ -153,7 +153,7 @@
 {
     endpoint_table book;
     take_out_of_service(book, "a");
-    note_return(book, start);
+    note_store_restored(book, start);
     EXPECT_TRUE(replace_domains(book, {}, start).empty());
     EXPECT_TRUE(expire_domains(book, start + milliseconds(29999)).empty());
     EXPECT_TRUE(book.domains_out.contains("a"));
@@ -168,7 +168,7 @@
 {
     endpoint_table book;
     take_out_of_service(book, "a");
-    note_return(book, start);
+    note_store_restored(book, start);
     replace_domains(book, {}, start);
     take_out_of_service(book, "a");
     EXPECT_TRUE(expire_domains(book, start + held_out_time).empty());
--- a/libs/gateway/include/gateway/entry_views.hpp
+++ b/libs/gateway/include/gateway/entry_views.hpp
@@ -50,7 +50,7 @@
     // The earliest moment at which what is read now may have come.
     base::boot_time arrived() const;
     void take_domain(platform::store_object const& object);
-    void note_return(
+    void note_store_restored(
         platform::object_kind kind,
         platform::store_mark const& before,
         platform::store_mark const& now);
--- a/libs/gateway/src/entry_views.cpp
+++ b/libs/gateway/src/entry_views.cpp
@@ -117,18 +117,18 @@
         [self = this->shared_from_this(), kind](
             platform::store_mark const& before, platform::store_mark const& now)
     {
-        self->note_return(kind, before, now);
+        self->note_store_restored(kind, before, now);
     };
     this->kept.push_back(std::make_shared<view_feed>(
         this->context->loop, chosen, std::move(handlers), std::move(numbers)));
 }
 
-void entry_views::note_return(
+void entry_views::note_store_restored(
     platform::object_kind kind,
     platform::store_mark const& before,
     platform::store_mark const& now)
 {
-    direct::note_return(this->context->book, clock::now());
+    direct::note_store_restored(this->context->book, clock::now());
     this->context->counters.count(
         "foxtailvale_store_returns_total", {{"view", name_of(kind)}});
     kernel::log_event(
