--- a/libs/direct/include/direct/placement.hpp
+++ b/libs/direct/include/direct/placement.hpp
@@ -141,7 +141,7 @@
 // from it. It can only be answered late, and under lasting overload it would
 // take the place of one that would be on time; where there is room to spare it
 // is served.
-std::int32_t depth_for_returned(std::uint32_t slots);
+std::int32_t depth_for_expired_goal(std::uint32_t slots);
 
 // Requests at the endpoint as known best: reported, and own ones since.
 std::uint32_t
--- a/libs/direct/src/placement.cpp
+++ b/libs/direct/src/placement.cpp
@@ -393,7 +393,7 @@
     return std::clamp(goal - usual, goal / least_share, goal / most_share);
 }
 
-std::int32_t depth_for_returned(std::uint32_t slots)
+std::int32_t depth_for_expired_goal(std::uint32_t slots)
 {
     constexpr std::uint32_t share = 12;
     return -static_cast<std::int32_t>(slots / share);
--- a/libs/direct/tests/placement_tests.cpp
+++ b/libs/direct/tests/placement_tests.cpp
@@ -595,7 +595,7 @@
 {
     auto book = engines(1);
     auto ask = ask_from("d0");
-    ask.depth = depth_for_returned(16);
+    ask.depth = depth_for_expired_goal(16);
     report(book, "10.0.0.0", 14);
     EXPECT_EQ(chosen_id(book, ask), "e0");
     report(book, "10.0.0.0", 15);
--- a/libs/direct/tests/played_entries.cpp
+++ b/libs/direct/tests/played_entries.cpp
@@ -35,7 +35,7 @@
     ask.entries = state.course.counted_entries.value_or(state.entries.size());
     if (asked.returned)
     {
-        ask.depth = depth_for_returned(state.costs.slots);
+        ask.depth = depth_for_expired_goal(state.costs.slots);
     }
     ask.all_entries = &state.entry_names;
     ask.own_entry = entry.name;
--- a/libs/gateway/src/call.cpp
+++ b/libs/gateway/src/call.cpp
@@ -174,7 +174,7 @@
     ask.entries = direct::sharers(this->context->entries);
     if (this->returned && this->service->engine)
     {
-        ask.depth = direct::depth_for_returned(this->service->engine->slots);
+        ask.depth = direct::depth_for_expired_goal(this->service->engine->slots);
     }
     ask.all_entries = &this->context->entry_addresses;
     ask.own_entry = this->context->settings.ip;
