--- a/libs/direct/include/direct/placement.hpp
+++ b/libs/direct/include/direct/placement.hpp
@@ -58,7 +58,7 @@
 
 // What a choice went by, for whoever asks afterwards why a request was sent to
 // an endpoint.
-struct expectation
+struct placement_estimate
 {
     std::uint32_t slots = 0;
     // Requests there, as work_at counts them.
@@ -80,7 +80,7 @@
     no_endpoint_reason why = no_endpoint_reason::none_listed;
     // The version that the request must begin on; zero for a plain service.
     std::uint64_t version = 0;
-    expectation expected;
+    placement_estimate expected;
     // The deadline that the version's end sets for the endpoint. Failure: a
     // request stood in an engine's line for longer than thought and began on
     // weights whose time had ended. Only the engine knows when it begins, and
--- a/libs/direct/src/placement.cpp
+++ b/libs/direct/src/placement.cpp
@@ -294,13 +294,13 @@
     return ask.all_entries == nullptr || takes_part_of(state, ask, ranks);
 }
 
-expectation expect(
+placement_estimate expect(
     endpoint_table const& book,
     endpoint_state const& state,
     placement_query const& ask,
     base::time_point now)
 {
-    expectation found;
+    placement_estimate found;
     found.slots = state.listed.slots;
     found.work = work_at(state, ask.entries, now);
     found.begins = now + time_to_begin(state, ask.entries, now);
--- a/libs/gateway/src/call.hpp
+++ b/libs/gateway/src/call.hpp
@@ -52,7 +52,7 @@
 // attempt, as its end is told afterwards.
 struct attempt_sight
 {
-    direct::expectation expected;
+    direct::placement_estimate expected;
     base::time_point sent;
     // When the first event came, and how long before the end of the version,
     // as known then.
