--- a/benchmarks/capacity/src/fleet_usage.cpp
+++ b/benchmarks/capacity/src/fleet_usage.cpp
@@ -26,7 +26,7 @@
 constexpr std::uint64_t seed = 11;
 constexpr seconds settle_time{5};
 constexpr seconds measured_time{15};
-constexpr seconds longest_wait{60};
+constexpr seconds max_wait{60};
 constexpr milliseconds poll_interval{200};
 constexpr double bytes_per_mib = 1024.0 * 1024.0;
 
@@ -84,7 +84,7 @@
     auto const start = clock::now();
     while (!holds())
     {
-        if (clock::now() - start > longest_wait)
+        if (clock::now() - start > max_wait)
         {
             throw std::runtime_error(std::string("never came: ") + what);
         }
--- a/benchmarks/requests/src/main.cpp
+++ b/benchmarks/requests/src/main.cpp
@@ -33,7 +33,7 @@
 constexpr std::uint32_t services = 8;
 constexpr std::uint32_t rate = 500;
 constexpr seconds measured{10};
-constexpr seconds longest_wait{60};
+constexpr seconds max_wait{60};
 constexpr std::size_t streams = 500;
 constexpr std::size_t idle_connections = 10'000;
 constexpr double bytes_per_mib = 1024.0 * 1024.0;
@@ -71,7 +71,7 @@
 
 void wait_until(std::function<bool()> const& condition, char const* what)
 {
-    auto const end = std::chrono::steady_clock::now() + longest_wait;
+    auto const end = std::chrono::steady_clock::now() + max_wait;
     while (!condition())
     {
         if (std::chrono::steady_clock::now() > end)
--- a/libs/direct/include/direct/placement.hpp
+++ b/libs/direct/include/direct/placement.hpp
@@ -133,7 +133,7 @@
 // place of another that would have been on time. A request with a goal of 400
 // ms waits 140 ms when first events take 260 ms, and a fifth of its goal at
 // least.
-std::chrono::milliseconds longest_wait(
+std::chrono::milliseconds max_wait(
     std::chrono::milliseconds goal, request::measured_time const& first_event);
 
 // Depth for a request whose goal is past, as its caller has come back with less
--- a/libs/direct/src/placement.cpp
+++ b/libs/direct/src/placement.cpp
@@ -379,7 +379,7 @@
         static_cast<std::int64_t>(read + reading * answer * step));
 }
 
-std::chrono::milliseconds longest_wait(
+std::chrono::milliseconds max_wait(
     std::chrono::milliseconds goal, request::measured_time const& first_event)
 {
     constexpr int least_share = 5;
--- a/libs/direct/tests/placement_tests.cpp
+++ b/libs/direct/tests/placement_tests.cpp
@@ -577,16 +577,16 @@
 
 // Lasting overload: there is always a line. What has waited half its goal is
 // answered late and has taken the place of another that is late in turn.
-TEST(longest_wait, leaves_time_for_the_first_event)
+TEST(max_wait, leaves_time_for_the_first_event)
 {
     request::measured_time first;
-    EXPECT_EQ(longest_wait(milliseconds(400), first), milliseconds(200));
+    EXPECT_EQ(max_wait(milliseconds(400), first), milliseconds(200));
     first = {milliseconds(240), milliseconds(40), true};
-    EXPECT_EQ(longest_wait(milliseconds(400), first), milliseconds(140));
+    EXPECT_EQ(max_wait(milliseconds(400), first), milliseconds(140));
     first = {milliseconds(900), milliseconds(40), true};
-    EXPECT_EQ(longest_wait(milliseconds(400), first), milliseconds(80));
+    EXPECT_EQ(max_wait(milliseconds(400), first), milliseconds(80));
     first = {milliseconds(20), milliseconds(4), true};
-    EXPECT_EQ(longest_wait(milliseconds(400), first), milliseconds(200));
+    EXPECT_EQ(max_wait(milliseconds(400), first), milliseconds(200));
 }
 
 // A caller that was refused comes back when its goal is past. Served before
--- a/libs/direct/tests/played_entries.cpp
+++ b/libs/direct/tests/played_entries.cpp
@@ -317,7 +317,7 @@
     auto& entry = state.entries[asked.entry];
     asked.arrived = state.now;
     asked.wait_until = std::min(
-        state.now + longest_wait(caller_goal, entry.first_answer),
+        state.now + max_wait(caller_goal, entry.first_answer),
         asked.deadline);
     note_request(entry.repeats, state.now);
     auto const stands_back = asked.returned && !entry.line.empty();
--- a/libs/entry_core/src/readiness.cpp
+++ b/libs/entry_core/src/readiness.cpp
@@ -11,7 +11,7 @@
 // An entry that still knows no endpoint for some model or service after this
 // long is cut off or there is none; callers are then better served with what
 // it has than by one entry less.
-constexpr std::chrono::seconds longest_wait{5};
+constexpr std::chrono::seconds max_wait{5};
 
 bool has_endpoint(state const& state, auto const& wanted)
 {
@@ -67,7 +67,7 @@
     // when it knows an endpoint for each thing that callers may ask for. It
     // stays ready after that: if endpoints go, no entry would do better.
     readiness.ready =
-        knows_endpoints(state) || now - *readiness.configured >= longest_wait;
+        knows_endpoints(state) || now - *readiness.configured >= max_wait;
 }
 
 } // namespace foxtailvale::entry_core
--- a/libs/gateway/src/call.cpp
+++ b/libs/gateway/src/call.cpp
@@ -155,7 +155,7 @@
     auto const goal = chosen.goal.count() > 0 ? chosen.goal : time;
     this->returned = this->has_returned(goal);
     auto const& first_answer = this->context->first_answer[this->service_name];
-    this->wait_until = this->arrived + direct::longest_wait(goal, first_answer);
+    this->wait_until = this->arrived + direct::max_wait(goal, first_answer);
     this->wait_until = std::min(this->wait_until, this->deadline);
     return true;
 }
--- a/libs/gateway/src/weights_door.cpp
+++ b/libs/gateway/src/weights_door.cpp
@@ -13,7 +13,7 @@
 
 using clock = std::chrono::steady_clock;
 
-constexpr std::chrono::milliseconds longest_wait{500};
+constexpr std::chrono::milliseconds max_wait{500};
 
 // Share of the machine's link that chunks may fill. The events of the engine's
 // live streams go over the same link: chunks sent as fast as they are asked
@@ -196,7 +196,7 @@
     }
     this->line_up(
         {session, path->version, path->kind, path->index,
-         clock::now() + longest_wait, behind});
+         clock::now() + max_wait, behind});
     this->serve_waiting();
 }
 
--- a/standins/src/object_api.cpp
+++ b/standins/src/object_api.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::uint64_t most_body_bytes = 4U * 1024U * 1024U;
 constexpr std::size_t most_value_bytes = 1024U * 1024U;
-constexpr std::chrono::milliseconds longest_wait{60'000};
+constexpr std::chrono::milliseconds max_wait{60'000};
 constexpr char const* json_type = "application/json";
 
 bool take_prefix(std::string const& uri, char const* prefix, std::string& rest)
@@ -246,7 +246,7 @@
             return this->fault.outage || (entry != this->objects.end() &&
                                           entry->second.version > after);
         };
-        this->changed.wait_for(lock, std::min(wait, longest_wait), is_newer);
+        this->changed.wait_for(lock, std::min(wait, max_wait), is_newer);
         auto const entry = this->objects.find(path);
         if (entry != this->objects.end() && entry->second.version > after)
         {
--- a/tools/scenario/src/scenario_run.cpp
+++ b/tools/scenario/src/scenario_run.cpp
@@ -31,7 +31,7 @@
 constexpr std::uint64_t first_seed = 1;
 constexpr std::uint64_t second_seed = 2;
 constexpr milliseconds poll_interval{50};
-constexpr seconds longest_wait{40};
+constexpr seconds max_wait{40};
 constexpr seconds settle_time{2};
 // After a process's return its callers' side needs a moment.
 constexpr milliseconds return_grace{1500};
@@ -47,7 +47,7 @@
 bool wait_until(std::function<bool()> const& condition)
 {
     auto const start = clock::now();
-    while (clock::now() - start < longest_wait)
+    while (clock::now() - start < max_wait)
     {
         if (condition())
         {
@@ -337,7 +337,7 @@
     {
         auto const now = wall_now();
         auto const length =
-            step.length.count() > 0 ? step.length : milliseconds(longest_wait);
+            step.length.count() > 0 ? step.length : milliseconds(max_wait);
         this->seen.partitions.push_back({now, now + length});
     }
 
@@ -350,7 +350,7 @@
             this->seen.entry_faults.push_back(
                 {entry, now,
                  now + (length.count() > 0 ? length + return_grace
-                                           : milliseconds(longest_wait))});
+                                           : milliseconds(max_wait))});
         }
     }
 
@@ -361,7 +361,7 @@
         this->seen.stops.push_back(
             {name, this->entry_address(name), asked, wall_now(), code});
         this->seen.endpoints_leaving.push_back(
-            {name, asked, asked + longest_wait});
+            {name, asked, asked + max_wait});
         this->down.insert(name);
         this->note_down(name, milliseconds(0));
     }
@@ -511,7 +511,7 @@
         this->apply_again({{"failure_domains", {{domain, "out"}}}});
         auto const now = wall_now();
         std::lock_guard const lock(this->seen_mutex);
-        this->seen.domains_out.push_back({domain, now, now + longest_wait});
+        this->seen.domains_out.push_back({domain, now, now + max_wait});
     }
 
     void queue_return(std::string const& domain)
