--- a/libs/direct/include/direct/attempt_limit.hpp
+++ b/libs/direct/include/direct/attempt_limit.hpp
@@ -2,7 +2,7 @@
 #define FOXTAILVALE_DIRECT_ATTEMPT_LIMIT_HPP
 
 #include <base/ids.hpp>
-#include <direct/endpoint_book.hpp>
+#include <direct/endpoint_table.hpp>
 #include <routing/configuration.hpp>
 
 #include <chrono>
--- a/libs/direct/include/direct/placement.hpp
+++ b/libs/direct/include/direct/placement.hpp
@@ -2,7 +2,7 @@
 #define FOXTAILVALE_DIRECT_PLACEMENT_HPP
 
 #include <base/random.hpp>
-#include <direct/endpoint_book.hpp>
+#include <direct/endpoint_table.hpp>
 #include <direct/shares.hpp>
 #include <request/admission.hpp>
 #include <routing/configuration.hpp>
--- a/libs/direct/include/direct/store_return.hpp
+++ b/libs/direct/include/direct/store_return.hpp
@@ -1,7 +1,7 @@
 #ifndef FOXTAILVALE_DIRECT_STORE_RETURN_HPP
 #define FOXTAILVALE_DIRECT_STORE_RETURN_HPP
 
-#include <direct/endpoint_book.hpp>
+#include <direct/endpoint_table.hpp>
 
 #include <chrono>
 #include <string>
--- a/libs/direct/src/endpoint_book.cpp
+++ b/libs/direct/src/endpoint_book.cpp
@@ -1,4 +1,4 @@
-#include <direct/endpoint_book.hpp>
+#include <direct/endpoint_table.hpp>
 #include <direct/store_return.hpp>
 
 #include <algorithm>
--- a/libs/direct/tests/played_fleet.hpp
+++ b/libs/direct/tests/played_fleet.hpp
@@ -5,7 +5,7 @@
 #include "played_engine.hpp"
 
 #include <base/random.hpp>
-#include <direct/endpoint_book.hpp>
+#include <direct/endpoint_table.hpp>
 #include <direct/shares.hpp>
 #include <request/admission.hpp>
 #include <weights/switch_time.hpp>
--- a/libs/gateway/include/gateway/entry_context.hpp
+++ b/libs/gateway/include/gateway/entry_context.hpp
@@ -3,7 +3,7 @@
 
 #include <base/boot_clock.hpp>
 #include <base/random.hpp>
-#include <direct/endpoint_book.hpp>
+#include <direct/endpoint_table.hpp>
 #include <direct/process_pause.hpp>
 #include <direct/shares.hpp>
 #include <gateway/connection_pool.hpp>
--- a/libs/gateway/include/gateway/traffic.hpp
+++ b/libs/gateway/include/gateway/traffic.hpp
@@ -1,7 +1,7 @@
 #ifndef FOXTAILVALE_GATEWAY_TRAFFIC_HPP
 #define FOXTAILVALE_GATEWAY_TRAFFIC_HPP
 
-#include <direct/endpoint_book.hpp>
+#include <direct/endpoint_table.hpp>
 #include <kernel/metrics.hpp>
 
 #include <cstdint>
--- a/libs/gateway/src/peer_link.cpp
+++ b/libs/gateway/src/peer_link.cpp
@@ -1,5 +1,5 @@
 #include <base/digest.hpp>
-#include <direct/endpoint_book.hpp>
+#include <direct/endpoint_table.hpp>
 #include <gateway/peer_link.hpp>
 #include <proto/foxtailvale.pb.h>
 
--- a/tools/ctl/src/explain.cpp
+++ b/tools/ctl/src/explain.cpp
@@ -3,7 +3,7 @@
 #include "switch_words.hpp"
 
 #include <base/error.hpp>
-#include <direct/endpoint_book.hpp>
+#include <direct/endpoint_table.hpp>
 
 #include <nlohmann/json.hpp>
 
