--- a/libs/direct/src/repeat.cpp
+++ b/libs/direct/src/repeat.cpp
@@ -1,4 +1,4 @@
-#include <direct/repeat.hpp>
+#include <direct/retry.hpp>
 
 namespace foxtailvale::direct
 {
--- a/libs/direct/tests/played_entries.cpp
+++ b/libs/direct/tests/played_entries.cpp
@@ -4,7 +4,7 @@
 
 #include <direct/attempt_limit.hpp>
 #include <direct/placement.hpp>
-#include <direct/repeat.hpp>
+#include <direct/retry.hpp>
 
 #include <algorithm>
 #include <utility>
--- a/libs/direct/tests/repeat_tests.cpp
+++ b/libs/direct/tests/repeat_tests.cpp
@@ -1,5 +1,5 @@
 #include <base/random.hpp>
-#include <direct/repeat.hpp>
+#include <direct/retry.hpp>
 
 #include <gtest/gtest.h>
 
--- a/libs/gateway/src/call.hpp
+++ b/libs/gateway/src/call.hpp
@@ -2,7 +2,7 @@
 #define FOXTAILVALE_GATEWAY_CALL_HPP
 
 #include <direct/placement.hpp>
-#include <direct/repeat.hpp>
+#include <direct/retry.hpp>
 #include <gateway/entry_context.hpp>
 #include <gateway/event_splitter.hpp>
 #include <kernel/events.hpp>
