--- a/libs/direct/src/endpoint_book.cpp
+++ b/libs/direct/src/endpoint_book.cpp
@@ -1,5 +1,5 @@
 #include <direct/endpoint_table.hpp>
-#include <direct/store_return.hpp>
+#include <direct/store_restore.hpp>
 
 #include <algorithm>
 #include <cmath>
--- a/libs/direct/src/store_return.cpp
+++ b/libs/direct/src/store_return.cpp
@@ -1,4 +1,4 @@
-#include <direct/store_return.hpp>
+#include <direct/store_restore.hpp>
 
 #include <algorithm>
 #include <utility>
