--- a/libs/direct/include/direct/endpoint_book.hpp
+++ b/libs/direct/include/direct/endpoint_table.hpp
@@ -37,7 +37,7 @@
 // the list, their agents were to draw a sixth of a version's chunks and were
 // stopped half a second later; the origin died, and the fleet missed two chunks
 // for six seconds. Planned work says that an endpoint leaves seconds ahead.
-bool takes_part(endpoint_record const& endpoint, std::string const& service);
+bool participates_in_transfer(endpoint_record const& endpoint, std::string const& service);
 
 // An endpoint as the platform lists it.
 struct endpoint_record
@@ -123,7 +123,7 @@
     std::set<std::string> held_out;
 };
 
-struct endpoint_book
+struct endpoint_table
 {
     // By id.
     std::map<std::string, endpoint_state> endpoints;
@@ -145,32 +145,32 @@
 inline constexpr std::chrono::milliseconds lapse_time{1500};
 
 // Takes one record in; false when nothing changed.
-bool put(endpoint_book& book, endpoint_record record);
+bool put(endpoint_table& book, endpoint_record record);
 
 // Takes an endpoint off the list: at once, or after lapse_time when the list
 // was not to be relied on.
 void remove(
-    endpoint_book& book,
+    endpoint_table& book,
     std::string const& id,
     bool list_was_lost,
     base::time_point now);
 
 // Replaces the whole list.
 void replace_all(
-    endpoint_book& book,
+    endpoint_table& book,
     std::vector<endpoint_record> records,
     bool list_was_lost,
     base::time_point now);
 
 // How many endpoints of the service are listed.
-std::size_t count_of(endpoint_book const& book, std::string const& service);
+std::size_t count_of(endpoint_table const& book, std::string const& service);
 
 // Drops what lapsed and believes what was kept back for long enough.
-void expire(endpoint_book& book, base::time_point now);
+void expire(endpoint_table& book, base::time_point now);
 
 // Takes an agent's word on the engine at this IP address.
 void note_report(
-    endpoint_book& book,
+    endpoint_table& book,
     std::string const& address,
     load_report const& report,
     base::time_point now);
@@ -180,32 +180,32 @@
 // has sent since that moment counts on top. Failure: two entries pass the same
 // report on, and what this entry has sent since the first is forgotten with the
 // second.
-void note_passed_report(
-    endpoint_book& book,
+void note_relayed_report(
+    endpoint_table& book,
     std::string const& address,
     load_report const& report,
     base::time_point as_of);
 
 // Takes a version in if it is newer than those known; false when it is not.
-bool name_version(
-    endpoint_book& book, std::string const& model, named_version const& named);
+bool announce_version(
+    endpoint_table& book, std::string const& model, named_version const& named);
 
 // The machine was suspended for that long. Failure: the steady clock stands
 // still meanwhile, and the time of older versions would end that much later
 // here than everywhere else.
-void note_suspended(endpoint_book& book, std::chrono::milliseconds time);
+void note_suspended(endpoint_table& book, std::chrono::milliseconds time);
 
 // When this version of the model stops to begin requests, as far as newer ones
 // are known; nothing for the newest.
-std::optional<base::time_point> use_ends(
-    endpoint_book const& book, std::string const& model, std::uint64_t version);
+std::optional<base::time_point> version_retires_at(
+    endpoint_table const& book, std::string const& model, std::uint64_t version);
 
 // When the first version newer than this one was named; nothing for the newest.
-std::optional<base::time_point> succeeded_at(
-    endpoint_book const& book, std::string const& model, std::uint64_t version);
+std::optional<base::time_point> superseded_at(
+    endpoint_table const& book, std::string const& model, std::uint64_t version);
 
 // How an own request at an endpoint ended, as far as the endpoint is judged.
-enum class use_end
+enum class request_outcome
 {
     answered,
     // It said that it did not run it: full.
@@ -221,18 +221,18 @@
     cancelled,
 };
 
-void begin_use(
-    endpoint_book& book, std::string const& id, base::time_point now);
-void end_use(
-    endpoint_book& book,
+void note_request_begun(
+    endpoint_table& book, std::string const& id, base::time_point now);
+void note_request_ended(
+    endpoint_table& book,
     std::string const& id,
-    use_end how,
+    request_outcome how,
     base::time_point now);
 
 // The answer to a request was cut before it began: the request may have crashed
 // the endpoint, or only its answer was lost.
-void note_cut(
-    endpoint_book& book,
+void note_lost_answer(
+    endpoint_table& book,
     std::string const& id,
     std::uint64_t request,
     base::time_point now);
@@ -241,11 +241,11 @@
 // told once. Failure: lost answers were taken for crashes, and everybody who
 // asked the same was refused for minutes while the endpoints lived.
 std::vector<std::uint64_t>
-take_cuts(endpoint_book& book, std::string const& id, base::time_point now);
+take_lost_answers(endpoint_table& book, std::string const& id, base::time_point now);
 
 // Anything came from the endpoint.
 void note_heard(
-    endpoint_book& book, std::string const& id, base::time_point now);
+    endpoint_table& book, std::string const& id, base::time_point now);
 
 // It owes answers and has sent nothing for this long. Streams send every 50 ms
 // and plain answers take less than half a second.
@@ -253,7 +253,7 @@
 bool is_stalled(endpoint_state const& state, base::time_point now);
 
 // Time after which an agent that reported before counts as silent.
-inline constexpr std::chrono::milliseconds report_silence{700};
+inline constexpr std::chrono::milliseconds report_timeout{700};
 
 // Its agent reported before and is silent now, and the endpoint has sent
 // nothing since either: its machine may stand still.
--- a/libs/direct/include/direct/placement.hpp
+++ b/libs/direct/include/direct/placement.hpp
@@ -2,7 +2,7 @@
 #define FOXTAILVALE_DIRECT_PLACEMENT_HPP
 
 #include <base/random.hpp>
-#include <direct/endpoint_book.hpp>
+#include <direct/endpoint_table.hpp>
 #include <direct/shares.hpp>
 #include <request/admission.hpp>
 #include <routing/configuration.hpp>
@@ -15,7 +15,7 @@
 {
 
 // What a request needs of an endpoint.
-struct placement_ask
+struct placement_query
 {
     std::string service;
     // Empty for a plain service.
@@ -34,10 +34,10 @@
     std::set<std::string> const* all_entries = nullptr;
     std::string own_entry;
     // What was worked out of this entry's parts; null keeps nothing.
-    part_memory* parts = nullptr;
+    share_cache* parts = nullptr;
     // This entry may not know all others, of which there may be so many.
     bool newcomer = false;
-    std::size_t assumed_entries = most_entries;
+    std::size_t assumed_entries = max_entries;
     // Go on with this version only, if it is not zero.
     std::uint64_t version = 0;
     // How long the request will run; it is not sent where the endpoint stops
@@ -46,7 +46,7 @@
 };
 
 // Why no endpoint was chosen.
-enum class no_choice
+enum class no_endpoint_reason
 {
     // None is listed that could ever take it.
     none_listed,
@@ -58,14 +58,14 @@
 
 // What a choice went by, for whoever asks afterwards why a request was sent to
 // an endpoint.
-struct expectation
+struct placement_estimate
 {
     std::uint32_t slots = 0;
     // Requests there, as work_at counts them.
     std::uint32_t work = 0;
     // Requests that the agent's report shows in the endpoint's line.
     std::uint32_t line = 0;
-    // Nothing without a report. With one older than report_silence, too, the
+    // Nothing without a report. With one older than report_timeout, too, the
     // choice went by the list and by own requests.
     std::optional<std::chrono::milliseconds> report_age;
     // The latest moment at which the request was thought to begin.
@@ -77,10 +77,10 @@
 struct choice
 {
     endpoint_state const* chosen = nullptr;
-    no_choice why = no_choice::none_listed;
+    no_endpoint_reason why = no_endpoint_reason::none_listed;
     // The version that the request must begin on; zero for a plain service.
     std::uint64_t version = 0;
-    expectation expected;
+    placement_estimate expected;
     // The deadline that the version's end sets for the endpoint. Failure: a
     // request stood in an engine's line for longer than thought and began on
     // weights whose time had ended. Only the engine knows when it begins, and
@@ -93,7 +93,7 @@
 // The deadline that the endpoint is handed with a request whose caller waits
 // until this one.
 base::time_point
-handed_deadline(choice const& chosen, base::time_point deadline);
+endpoint_deadline(choice const& chosen, base::time_point deadline);
 
 // Until when a request that was sent on this version, with this deadline, must
 // have begun; nothing while the version does not end. The sender then closes
@@ -101,7 +101,7 @@
 // it, and began it on weights whose time had ended, as it counts the deadline
 // from its reading. What is closed before it is read does not begin.
 std::optional<base::time_point> must_begin_by(
-    endpoint_book const& book,
+    endpoint_table const& book,
     std::string const& model,
     std::uint64_t version,
     base::time_point handed);
@@ -115,8 +115,8 @@
 // whose answers are faults, or whose agent fell silent, is taken only when no
 // other can.
 choice choose(
-    endpoint_book const& book,
-    placement_ask const& ask,
+    endpoint_table const& book,
+    placement_query const& ask,
     base::time_point now,
     base::random_state& random);
 
@@ -133,7 +133,7 @@
 // place of another that would have been on time. A request with a goal of 400
 // ms waits 140 ms when first events take 260 ms, and a fifth of its goal at
 // least.
-std::chrono::milliseconds longest_wait(
+std::chrono::milliseconds max_wait(
     std::chrono::milliseconds goal, request::measured_time const& first_event);
 
 // Depth for a request whose goal is past, as its caller has come back with less
@@ -141,7 +141,7 @@
 // from it. It can only be answered late, and under lasting overload it would
 // take the place of one that would be on time; where there is room to spare it
 // is served.
-std::int32_t depth_for_returned(std::uint32_t slots);
+std::int32_t depth_for_expired_goal(std::uint32_t slots);
 
 // Requests at the endpoint as known best: reported, and own ones since.
 std::uint32_t
--- a/libs/direct/include/direct/report_sources.hpp
+++ b/libs/direct/include/direct/report_sources.hpp
@@ -55,7 +55,7 @@
 inline constexpr std::size_t sources_per_domain = 2;
 
 // Reports are passed on, and asked for anew, this often.
-inline constexpr std::chrono::milliseconds pass_interval{400};
+inline constexpr std::chrono::milliseconds relay_interval{400};
 
 // One that passed nothing on for this long is replaced, and rests.
 inline constexpr std::chrono::milliseconds source_patience{1200};
@@ -69,14 +69,14 @@
     base::time_point now);
 
 // An entry of the domain passed reports on.
-void note_passed(
+void note_relayed(
     report_sources& state,
     std::string const& domain,
     std::string const& entry,
     base::time_point now);
 
 // No entry of the domain passes reports on: its agents are asked themselves.
-bool must_ask_agents(
+bool must_poll_agents(
     report_sources const& state,
     std::string const& domain,
     base::time_point now);
--- a/libs/direct/include/direct/shares.hpp
+++ b/libs/direct/include/direct/shares.hpp
@@ -91,7 +91,7 @@
 // a choice does not rank all entries for all endpoints. Names of all entries
 // and of a domain's are only ever added, so their counts tell whether they
 // changed.
-struct part_memory
+struct share_cache
 {
     struct answer
     {
@@ -110,7 +110,7 @@
 // The same as has_part, from memory where it can be. `own` and `bound` are the
 // same in all calls for an endpoint.
 bool has_part(
-    part_memory& memory,
+    share_cache& memory,
     std::set<std::string> const& entries,
     entry_ranks const& ranks,
     std::string const& own,
@@ -118,10 +118,10 @@
     cold_bound const& bound);
 
 // More entries than any fleet is made for.
-inline constexpr std::size_t most_entries = 512;
+inline constexpr std::size_t max_entries = 512;
 
 // How many entries there may be, for one that may know few of them:
-// most_entries when no agent told of any, else from those told of and those
+// max_entries when no agent told of any, else from those told of and those
 // that asked a watcher, or the listed endpoints of the service if none did.
 std::size_t assumed_entries(entry_count const& count, std::size_t endpoints);
 
@@ -129,7 +129,7 @@
 // if there were so many. Failure: all processes of 45 entries are killed; for a
 // second each knows some of the others, takes its part for large, and a cold
 // endpoint got 39 requests in a second where it bears 38.
-bool draws_part(
+bool has_estimated_share(
     std::string const& own,
     std::string const& endpoint,
     cold_bound const& bound,
@@ -180,7 +180,7 @@
 void note_request(retry_window& state, base::time_point now);
 
 // Spends one repeat, or says that there is none left.
-bool spend_repeat(
+bool spend_retry(
     retry_window& state,
     retry_bound const& bound,
     std::size_t entries,
--- a/libs/direct/include/direct/watch_duty.hpp
+++ b/libs/direct/include/direct/watch_duty.hpp
@@ -105,7 +105,7 @@
 inline constexpr std::chrono::milliseconds look_time{2500};
 
 // What another entry says of its watching.
-enum class watch_word
+enum class watch_status
 {
     // The store has just answered it.
     fresh,
@@ -118,11 +118,11 @@
     watch_duty& state,
     std::string const& name,
     std::string const& failure_domain,
-    watch_word word,
+    watch_status word,
     base::boot_time now);
 
 // Another entry confirmed the views of this one.
-void note_followed(watch_duty& state, base::boot_time now);
+void note_views_confirmed(watch_duty& state, base::boot_time now);
 
 // Follows others from now on; for an entry that knows nothing yet.
 void follow(watch_duty& state, base::boot_time now);
@@ -137,14 +137,14 @@
 inline constexpr std::chrono::milliseconds near_patience{500};
 
 // Whether views are taken from a watcher of that failure domain now.
-bool may_take_from(
+bool accepts_views_from(
     watch_duty const& state,
     std::string const& failure_domain,
     base::boot_time now);
 
 // Whether entries of that failure domain are told of each change at once. Those
 // of others hear it from their own watcher.
-bool tells_at_once(
+bool notifies_immediately(
     watch_duty const& state,
     std::string const& failure_domain,
     base::boot_time now);
--- a/libs/direct/src/endpoint_book.cpp
+++ b/libs/direct/src/endpoint_book.cpp
@@ -1,5 +1,5 @@
-#include <direct/endpoint_book.hpp>
-#include <direct/store_return.hpp>
+#include <direct/endpoint_table.hpp>
+#include <direct/store_restore.hpp>
 
 #include <algorithm>
 #include <cmath>
@@ -84,7 +84,7 @@
 }
 
 std::optional<base::time_point> earliest_of_newer(
-    endpoint_book const& book,
+    endpoint_table const& book,
     std::string const& model,
     std::uint64_t version,
     base::time_point named_version::*which)
@@ -107,12 +107,12 @@
 
 } // namespace
 
-bool takes_part(endpoint_record const& endpoint, std::string const& service)
+bool participates_in_transfer(endpoint_record const& endpoint, std::string const& service)
 {
     return endpoint.service == service && !endpoint.draining;
 }
 
-bool put(endpoint_book& book, endpoint_record record)
+bool put(endpoint_table& book, endpoint_record record)
 {
     note_present(book, record.id);
     auto& state = book.endpoints[record.id];
@@ -134,7 +134,7 @@
 }
 
 void remove(
-    endpoint_book& book,
+    endpoint_table& book,
     std::string const& id,
     bool list_was_lost,
     base::time_point now)
@@ -158,7 +158,7 @@
 }
 
 void replace_all(
-    endpoint_book& book,
+    endpoint_table& book,
     std::vector<endpoint_record> records,
     bool list_was_lost,
     base::time_point now)
@@ -187,7 +187,7 @@
     }
 }
 
-std::size_t count_of(endpoint_book const& book, std::string const& service)
+std::size_t count_of(endpoint_table const& book, std::string const& service)
 {
     return static_cast<std::size_t>(std::ranges::count_if(
         book.endpoints,
@@ -197,7 +197,7 @@
         }));
 }
 
-void expire(endpoint_book& book, base::time_point now)
+void expire(endpoint_table& book, base::time_point now)
 {
     std::erase_if(
         book.endpoints,
@@ -212,7 +212,7 @@
 }
 
 void note_report(
-    endpoint_book& book,
+    endpoint_table& book,
     std::string const& address,
     load_report const& report,
     base::time_point now)
@@ -226,8 +226,8 @@
     }
 }
 
-void note_passed_report(
-    endpoint_book& book,
+void note_relayed_report(
+    endpoint_table& book,
     std::string const& address,
     load_report const& report,
     base::time_point as_of)
@@ -243,8 +243,8 @@
     }
 }
 
-bool name_version(
-    endpoint_book& book, std::string const& model, named_version const& named)
+bool announce_version(
+    endpoint_table& book, std::string const& model, named_version const& named)
 {
     auto& known = book.versions[model];
     if (!known.empty() && known.back().version >= named.version)
@@ -255,7 +255,7 @@
     return true;
 }
 
-void note_suspended(endpoint_book& book, std::chrono::milliseconds time)
+void note_suspended(endpoint_table& book, std::chrono::milliseconds time)
 {
     for (auto& [model, known] : book.versions)
     {
@@ -267,19 +267,19 @@
     }
 }
 
-std::optional<base::time_point> use_ends(
-    endpoint_book const& book, std::string const& model, std::uint64_t version)
+std::optional<base::time_point> version_retires_at(
+    endpoint_table const& book, std::string const& model, std::uint64_t version)
 {
     return earliest_of_newer(book, model, version, &named_version::older_until);
 }
 
-std::optional<base::time_point> succeeded_at(
-    endpoint_book const& book, std::string const& model, std::uint64_t version)
+std::optional<base::time_point> superseded_at(
+    endpoint_table const& book, std::string const& model, std::uint64_t version)
 {
     return earliest_of_newer(book, model, version, &named_version::learned);
 }
 
-void begin_use(endpoint_book& book, std::string const& id, base::time_point now)
+void note_request_begun(endpoint_table& book, std::string const& id, base::time_point now)
 {
     auto const found = book.endpoints.find(id);
     if (found == book.endpoints.end())
@@ -300,10 +300,10 @@
     }
 }
 
-void end_use(
-    endpoint_book& book,
+void note_request_ended(
+    endpoint_table& book,
     std::string const& id,
-    use_end how,
+    request_outcome how,
     base::time_point now)
 {
     auto const found = book.endpoints.find(id);
@@ -314,23 +314,23 @@
     auto& state = found->second;
     state.own_running -= std::min<std::uint32_t>(1, state.own_running);
     --state.own_change;
-    if (how == use_end::answered || how == use_end::faulty)
+    if (how == request_outcome::answered || how == request_outcome::faulty)
     {
-        note_answer(state, how == use_end::faulty, now);
+        note_answer(state, how == request_outcome::faulty, now);
     }
-    if (how == use_end::answered)
+    if (how == request_outcome::answered)
     {
         state.connect_faults = 0;
     }
-    if (how == use_end::declined)
+    if (how == request_outcome::declined)
     {
         state.avoid_until = now + full_avoidance;
     }
-    if (how == use_end::misdirected)
+    if (how == request_outcome::misdirected)
     {
         state.avoid_until = now + misdirected_avoidance;
     }
-    if (how == use_end::not_connected)
+    if (how == request_outcome::not_connected)
     {
         auto const doublings = std::min<std::uint32_t>(state.connect_faults, 3);
         state.avoid_until =
@@ -340,8 +340,8 @@
     }
 }
 
-void note_cut(
-    endpoint_book& book,
+void note_lost_answer(
+    endpoint_table& book,
     std::string const& id,
     std::uint64_t request,
     base::time_point now)
@@ -362,7 +362,7 @@
 }
 
 std::vector<std::uint64_t>
-take_cuts(endpoint_book& book, std::string const& id, base::time_point now)
+take_lost_answers(endpoint_table& book, std::string const& id, base::time_point now)
 {
     std::vector<std::uint64_t> requests;
     auto const found = book.endpoints.find(id);
@@ -382,7 +382,7 @@
 }
 
 void note_heard(
-    endpoint_book& book, std::string const& id, base::time_point now)
+    endpoint_table& book, std::string const& id, base::time_point now)
 {
     auto const found = book.endpoints.find(id);
     if (found != book.endpoints.end())
@@ -399,13 +399,13 @@
 
 bool is_fresh(endpoint_state const& state, base::time_point now)
 {
-    return state.report && now - state.reported <= report_silence;
+    return state.report && now - state.reported <= report_timeout;
 }
 
 bool is_silent(endpoint_state const& state, base::time_point now)
 {
     return state.report && !is_fresh(state, now) &&
-           now - state.last_sent > report_silence;
+           now - state.last_sent > report_timeout;
 }
 
 served_weights const&
--- a/libs/direct/src/placement.cpp
+++ b/libs/direct/src/placement.cpp
@@ -43,9 +43,9 @@
 
 // Whether the endpoint could take such a request at all.
 bool is_listed_for(
-    endpoint_book const& book,
+    endpoint_table const& book,
     endpoint_state const& state,
-    placement_ask const& ask)
+    placement_query const& ask)
 {
     auto const& listed = state.listed;
     if (listed.service != ask.service || listed.draining ||
@@ -84,7 +84,7 @@
 // Whether the request is likely to be done when the endpoint's version ends, so
 // that this end can be its deadline.
 bool is_done_by(
-    base::time_point ends, placement_ask const& ask, base::time_point now)
+    base::time_point ends, placement_query const& ask, base::time_point now)
 {
     return now + ask.expected < ends;
 }
@@ -92,21 +92,21 @@
 // Whether a request needs longer than the version may be used after the next
 // one's naming, so that it is done by the end at no moment after that.
 bool never_fits(
-    endpoint_book const& book,
-    placement_ask const& ask,
+    endpoint_table const& book,
+    placement_query const& ask,
     std::uint64_t version,
     base::time_point ends)
 {
-    auto const named = succeeded_at(book, ask.model, version);
+    auto const named = superseded_at(book, ask.model, version);
     return named && *named + ask.expected >= ends;
 }
 
 // Whether a request may be sent to an endpoint whose version ends.
 bool may_go_before(
     base::time_point ends,
-    endpoint_book const& book,
+    endpoint_table const& book,
     endpoint_state const& state,
-    placement_ask const& ask,
+    placement_query const& ask,
     base::time_point now)
 {
     if (now + time_to_begin(state, ask.entries, now) >= ends)
@@ -123,9 +123,9 @@
 }
 
 bool has_weights(
-    endpoint_book const& book,
+    endpoint_table const& book,
     endpoint_state const& state,
-    placement_ask const& ask,
+    placement_query const& ask,
     base::time_point now)
 {
     if (ask.model.empty())
@@ -150,7 +150,7 @@
     {
         return false;
     }
-    auto const ends = use_ends(book, ask.model, weights.version);
+    auto const ends = version_retires_at(book, ask.model, weights.version);
     return !ends || may_go_before(*ends, book, state, ask, now);
 }
 
@@ -168,7 +168,7 @@
 // many entries as there are free slots, and some more since not all have a
 // request, draw the lot; the next draw is a tenth of a second later.
 bool draws_lot(
-    endpoint_state const& state, placement_ask const& ask, base::time_point now)
+    endpoint_state const& state, placement_query const& ask, base::time_point now)
 {
     if (ask.entries <= 1 || !is_fresh(state, now))
     {
@@ -194,7 +194,7 @@
 // stood still, and what entries had gone on sending to them ran at their
 // return, after its callers had left.
 bool may_try(
-    endpoint_state const& state, placement_ask const& ask, base::time_point now)
+    endpoint_state const& state, placement_query const& ask, base::time_point now)
 {
     if (state.own_running > 0)
     {
@@ -209,7 +209,7 @@
 
 // Entries of failure domains in which nothing can serve the request.
 std::set<std::string>
-entries_without_endpoints(endpoint_book const& book, placement_ask const& ask)
+entries_without_endpoints(endpoint_table const& book, placement_query const& ask)
 {
     std::set<std::string_view> served;
     for (auto const& [id, state] : book.endpoints)
@@ -243,10 +243,10 @@
 // Whether this entry is one of those that share what the endpoint bears.
 bool takes_part_of(
     endpoint_state const& state,
-    placement_ask const& ask,
+    placement_query const& ask,
     entry_ranks const& ranks)
 {
-    part_memory none;
+    share_cache none;
     return has_part(
         ask.parts != nullptr ? *ask.parts : none, *ask.all_entries, ranks,
         ask.own_entry, state.listed.id, ask.cold);
@@ -254,7 +254,7 @@
 
 bool takes_work(
     endpoint_state const& state,
-    placement_ask const& ask,
+    placement_query const& ask,
     entry_ranks const& ranks,
     base::time_point now)
 {
@@ -278,7 +278,7 @@
     }
     auto const sharing = ask.newcomer ? ask.assumed_entries : ask.entries;
     if (ask.newcomer &&
-        !draws_part(ask.own_entry, state.listed.id, ask.cold, sharing))
+        !has_estimated_share(ask.own_entry, state.listed.id, ask.cold, sharing))
     {
         return false;
     }
@@ -294,13 +294,13 @@
     return ask.all_entries == nullptr || takes_part_of(state, ask, ranks);
 }
 
-expectation expect(
-    endpoint_book const& book,
+placement_estimate expect(
+    endpoint_table const& book,
     endpoint_state const& state,
-    placement_ask const& ask,
+    placement_query const& ask,
     base::time_point now)
 {
-    expectation found;
+    placement_estimate found;
     found.slots = state.listed.slots;
     found.work = work_at(state, ask.entries, now);
     found.begins = now + time_to_begin(state, ask.entries, now);
@@ -313,7 +313,7 @@
     }
     if (!ask.model.empty())
     {
-        found.ends = use_ends(book, ask.model, weights_of(state, now).version);
+        found.ends = version_retires_at(book, ask.model, weights_of(state, now).version);
     }
     return found;
 }
@@ -321,7 +321,7 @@
 // The deadline that the version's end sets, where it sets one.
 std::optional<base::time_point> works_until(
     std::optional<base::time_point> ends,
-    placement_ask const& ask,
+    placement_query const& ask,
     base::time_point now)
 {
     auto const sets = ends && (ask.version != 0 || is_done_by(*ends, ask, now));
@@ -379,7 +379,7 @@
         static_cast<std::int64_t>(read + reading * answer * step));
 }
 
-std::chrono::milliseconds longest_wait(
+std::chrono::milliseconds max_wait(
     std::chrono::milliseconds goal, request::measured_time const& first_event)
 {
     constexpr int least_share = 5;
@@ -393,27 +393,27 @@
     return std::clamp(goal - usual, goal / least_share, goal / most_share);
 }
 
-std::int32_t depth_for_returned(std::uint32_t slots)
+std::int32_t depth_for_expired_goal(std::uint32_t slots)
 {
     constexpr std::uint32_t share = 12;
     return -static_cast<std::int32_t>(slots / share);
 }
 
 base::time_point
-handed_deadline(choice const& chosen, base::time_point deadline)
+endpoint_deadline(choice const& chosen, base::time_point deadline)
 {
     return std::min(deadline, chosen.works_until.value_or(deadline));
 }
 
 std::optional<base::time_point> must_begin_by(
-    endpoint_book const& book,
+    endpoint_table const& book,
     std::string const& model,
     std::uint64_t version,
     base::time_point handed)
 {
     // Time for the endpoint to say that it did not run what its deadline ended.
     constexpr std::chrono::milliseconds answer_time{100};
-    auto const ends = use_ends(book, model, version);
+    auto const ends = version_retires_at(book, model, version);
     if (!ends)
     {
         return std::nullopt;
@@ -422,8 +422,8 @@
 }
 
 choice choose(
-    endpoint_book const& book,
-    placement_ask const& ask,
+    endpoint_table const& book,
+    placement_query const& ask,
     base::time_point now,
     base::random_state& random)
 {
@@ -440,10 +440,10 @@
         }
         if (!has_weights(book, state, ask, now))
         {
-            found.why = std::max(found.why, no_choice::no_weights);
-            if (found.why == no_choice::none_listed)
+            found.why = std::max(found.why, no_endpoint_reason::no_weights);
+            if (found.why == no_endpoint_reason::none_listed)
             {
-                found.why = no_choice::no_weights;
+                found.why = no_endpoint_reason::no_weights;
             }
             continue;
         }
@@ -452,9 +452,9 @@
             near != book.domain_entries.end() ? &near->second : nullptr;
         if (!takes_work(state, ask, ranks, now))
         {
-            if (found.why != no_choice::no_weights)
+            if (found.why != no_endpoint_reason::no_weights)
             {
-                found.why = no_choice::all_busy;
+                found.why = no_endpoint_reason::all_busy;
             }
             continue;
         }
--- a/libs/direct/src/report_sources.cpp
+++ b/libs/direct/src/report_sources.cpp
@@ -85,7 +85,7 @@
     return chosen;
 }
 
-void note_passed(
+void note_relayed(
     report_sources& state,
     std::string const& domain,
     std::string const& entry,
@@ -105,7 +105,7 @@
     }
 }
 
-bool must_ask_agents(
+bool must_poll_agents(
     report_sources const& state,
     std::string const& domain,
     base::time_point now)
--- a/libs/direct/src/shares.cpp
+++ b/libs/direct/src/shares.cpp
@@ -114,7 +114,7 @@
 }
 
 bool has_part(
-    part_memory& memory,
+    share_cache& memory,
     std::set<std::string> const& entries,
     entry_ranks const& ranks,
     std::string const& own,
@@ -138,16 +138,16 @@
 {
     if (count.most_seen == 0)
     {
-        return most_entries;
+        return max_entries;
     }
     // Fleets have about as many entries as engines, or fewer.
     auto const others = count.hinted > 0 ? count.hinted : endpoints;
     return std::clamp(
         std::max(2 * count.most_seen, others * 3 / 2), count.assumed,
-        most_entries);
+        max_entries);
 }
 
-bool draws_part(
+bool has_estimated_share(
     std::string const& own,
     std::string const& endpoint,
     cold_bound const& bound,
@@ -190,7 +190,7 @@
     ++state.requests[slot_of(state.second)];
 }
 
-bool spend_repeat(
+bool spend_retry(
     retry_window& state,
     retry_bound const& bound,
     std::size_t entries,
--- a/libs/direct/src/watch_duty.cpp
+++ b/libs/direct/src/watch_duty.cpp
@@ -145,7 +145,7 @@
     watch_duty& state,
     std::string const& name,
     std::string const& failure_domain,
-    watch_word word,
+    watch_status word,
     base::boot_time now)
 {
     if (name == state.own)
@@ -154,17 +154,17 @@
     }
     state.watchers.erase(name);
     state.lookers.erase(name);
-    if (word == watch_word::fresh)
+    if (word == watch_status::fresh)
     {
         state.watchers[name] = {failure_domain, now};
     }
-    if (word == watch_word::looking)
+    if (word == watch_status::looking)
     {
         state.lookers[name] = {failure_domain, now};
     }
 }
 
-void note_followed(watch_duty& state, base::boot_time now)
+void note_views_confirmed(watch_duty& state, base::boot_time now)
 {
     state.followed = std::max(state.followed, now);
     if (!state.watching)
@@ -192,7 +192,7 @@
     return state.watching;
 }
 
-bool may_take_from(
+bool accepts_views_from(
     watch_duty const& state,
     std::string const& failure_domain,
     base::boot_time now)
@@ -205,7 +205,7 @@
     return count(state, now).own_domain == 0;
 }
 
-bool tells_at_once(
+bool notifies_immediately(
     watch_duty const& state,
     std::string const& failure_domain,
     base::boot_time now)
@@ -234,7 +234,7 @@
         {
             auto const watcher = state.watchers.find(name);
             return watcher != state.watchers.end() &&
-                   !may_take_from(state, watcher->second.failure_domain, now);
+                   !accepts_views_from(state, watcher->second.failure_domain, now);
         });
     chosen.resize(std::min(chosen.size(), most_asked));
     return chosen;
--- a/libs/direct/tests/placement_tests.cpp
+++ b/libs/direct/tests/placement_tests.cpp
@@ -32,9 +32,9 @@
 }
 
 // Engines e0, e1, ... at 10.0.0.N, in two failure domains by turns.
-endpoint_book engines(std::size_t count)
+endpoint_table engines(std::size_t count)
 {
-    endpoint_book book;
+    endpoint_table book;
     book.regions = {{"d0", "r0"}, {"d1", "r1"}};
     for (std::size_t number = 0; number < count; ++number)
     {
@@ -46,16 +46,16 @@
     return book;
 }
 
-placement_ask ask_from(std::string domain)
+placement_query ask_from(std::string domain)
 {
-    placement_ask ask;
+    placement_query ask;
     ask.service = "s";
     ask.model = "m";
     ask.own_domain = std::move(domain);
     return ask;
 }
 
-std::string chosen_id(endpoint_book const& book, placement_ask const& ask)
+std::string chosen_id(endpoint_table const& book, placement_query const& ask)
 {
     base::random_state random{3};
     auto const found = choose(book, ask, start, random);
@@ -63,7 +63,7 @@
 }
 
 void report(
-    endpoint_book& book,
+    endpoint_table& book,
     std::string const& address,
     std::uint32_t running,
     base::time_point at = start)
@@ -117,7 +117,7 @@
     {
         names.insert("10.1.0." + std::to_string(entry));
     }
-    part_memory parts;
+    share_cache parts;
     auto ask = ask_from("d0");
     ask.entries = names.size();
     ask.all_entries = &names;
@@ -156,7 +156,7 @@
              left += milliseconds(50))
         {
             auto book = engines(1);
-            name_version(book, "m", {2, start, ends});
+            announce_version(book, "m", {2, start, ends});
             auto const now = ends - left;
             report(book, "10.0.0.0", 0, now);
             auto ask = ask_from("d0");
@@ -225,7 +225,7 @@
     ask.own_entry = "10.1.0.1";
     base::random_state random{1};
     ASSERT_NE(choose(book, ask, now, random).chosen, nullptr);
-    begin_use(book, "e0", now);
+    note_request_begun(book, "e0", now);
     EXPECT_EQ(choose(book, ask, now + milliseconds(1), random).chosen, nullptr);
     EXPECT_EQ(
         choose(book, ask, now + milliseconds(400), random).chosen, nullptr);
@@ -276,7 +276,7 @@
 TEST(placement, many_entries_stop_sooner_before_a_version_ends)
 {
     auto book = engines(1);
-    name_version(
+    announce_version(
         book, "m", {2, start - seconds(7), start + milliseconds(1000)});
     report(book, "10.0.0.0", 0);
     auto ask = ask_from("d0");
@@ -291,11 +291,11 @@
 TEST(placement, an_engine_on_a_version_past_its_time_gets_nothing)
 {
     auto book = engines(2);
-    name_version(book, "m", {2, start - seconds(9), start - seconds(1)});
+    announce_version(book, "m", {2, start - seconds(9), start - seconds(1)});
     base::random_state random{3};
     auto const none = choose(book, ask_from("d0"), start, random);
     EXPECT_EQ(none.chosen, nullptr);
-    EXPECT_EQ(none.why, no_choice::no_weights);
+    EXPECT_EQ(none.why, no_endpoint_reason::no_weights);
     book.endpoints.at("e1").listed.weights.version = 2;
     auto const found = choose(book, ask_from("d0"), start, random);
     ASSERT_NE(found.chosen, nullptr);
@@ -308,7 +308,7 @@
 TEST(placement, a_suspend_counts_towards_the_end_of_an_older_version)
 {
     auto book = engines(1);
-    name_version(
+    announce_version(
         book, "m", {2, start - seconds(2), start + milliseconds(5600)});
     EXPECT_EQ(chosen_id(book, ask_from("d0")), "e0");
     note_suspended(book, seconds(5));
@@ -340,7 +340,7 @@
 {
     auto book = engines(1);
     auto const ends = start + milliseconds(1000);
-    name_version(book, "m", {2, start - seconds(7), ends});
+    announce_version(book, "m", {2, start - seconds(7), ends});
     report(book, "10.0.0.0", 4);
     EXPECT_EQ(chosen_id(book, ask_from("d0")), "e0");
     report(book, "10.0.0.0", 16);
@@ -361,8 +361,8 @@
     said.waiting = 3;
     said.weights = {"m", 1, true};
     note_report(book, "10.0.0.0", said, start);
-    name_version(book, "m", {2, start, start + seconds(7)});
-    begin_use(book, "e0", start + milliseconds(100));
+    announce_version(book, "m", {2, start, start + seconds(7)});
+    note_request_begun(book, "e0", start + milliseconds(100));
     auto ask = ask_from("d0");
     ask.entries = 2;
     base::random_state random{3};
@@ -415,7 +415,7 @@
     ask.expected = milliseconds(1500);
     base::random_state random{3};
     EXPECT_FALSE(choose(book, ask, start, random).works_until);
-    name_version(book, "m", {2, start - seconds(1), ends});
+    announce_version(book, "m", {2, start - seconds(1), ends});
     auto const at = [&](milliseconds left)
     {
         report(book, "10.0.0.0", 0, ends - left);
@@ -486,7 +486,7 @@
     base::random_state random{3};
     auto const none = choose(book, ask_from("d0"), start, random);
     EXPECT_EQ(none.chosen, nullptr);
-    EXPECT_EQ(none.why, no_choice::all_busy);
+    EXPECT_EQ(none.why, no_endpoint_reason::all_busy);
 }
 
 // One engine fails four answers in ten while its health is good. Its callers
@@ -502,9 +502,9 @@
         auto const found = choose(book, ask_from("d0"), now, random);
         auto const id = found.chosen->listed.id;
         ++counts[id];
-        begin_use(book, id, now);
+        note_request_begun(book, id, now);
         auto const faulty = id == "e0" && base::random_below(random, 10) < 4;
-        end_use(book, id, faulty ? use_end::faulty : use_end::answered, now);
+        note_request_ended(book, id, faulty ? request_outcome::faulty : request_outcome::answered, now);
     }
     EXPECT_LT(counts["e0"], counts["e2"] / 2);
 }
@@ -514,7 +514,7 @@
 TEST(placement, entries_with_the_same_report_do_not_herd)
 {
     constexpr std::size_t entries = 8;
-    std::vector<endpoint_book> books(entries, engines(8));
+    std::vector<endpoint_table> books(entries, engines(8));
     std::vector<base::random_state> seeds;
     for (std::size_t entry = 0; entry < entries; ++entry)
     {
@@ -534,7 +534,7 @@
         {
             auto const found =
                 choose(books[entry], ask_from("d0"), start, seeds[entry]);
-            begin_use(books[entry], found.chosen->listed.id, start);
+            note_request_begun(books[entry], found.chosen->listed.id, start);
             ++running[found.chosen->listed.id];
         }
     }
@@ -553,7 +553,7 @@
 TEST(placement, an_engine_that_returns_is_not_overrun)
 {
     constexpr std::size_t entries = 8;
-    std::vector<endpoint_book> books(entries, engines(1));
+    std::vector<endpoint_table> books(entries, engines(1));
     std::uint32_t sent = 0;
     for (auto& book : books)
     {
@@ -566,7 +566,7 @@
             auto const found = choose(book, ask, start, random);
             if (found.chosen != nullptr)
             {
-                begin_use(book, found.chosen->listed.id, start);
+                note_request_begun(book, found.chosen->listed.id, start);
                 ++sent;
             }
         }
@@ -577,16 +577,16 @@
 
 // Lasting overload: there is always a line. What has waited half its goal is
 // answered late and has taken the place of another that is late in turn.
-TEST(longest_wait, leaves_time_for_the_first_event)
+TEST(max_wait, leaves_time_for_the_first_event)
 {
     request::measured_time first;
-    EXPECT_EQ(longest_wait(milliseconds(400), first), milliseconds(200));
+    EXPECT_EQ(max_wait(milliseconds(400), first), milliseconds(200));
     first = {milliseconds(240), milliseconds(40), true};
-    EXPECT_EQ(longest_wait(milliseconds(400), first), milliseconds(140));
+    EXPECT_EQ(max_wait(milliseconds(400), first), milliseconds(140));
     first = {milliseconds(900), milliseconds(40), true};
-    EXPECT_EQ(longest_wait(milliseconds(400), first), milliseconds(80));
+    EXPECT_EQ(max_wait(milliseconds(400), first), milliseconds(80));
     first = {milliseconds(20), milliseconds(4), true};
-    EXPECT_EQ(longest_wait(milliseconds(400), first), milliseconds(200));
+    EXPECT_EQ(max_wait(milliseconds(400), first), milliseconds(200));
 }
 
 // A caller that was refused comes back when its goal is past. Served before
@@ -595,7 +595,7 @@
 {
     auto book = engines(1);
     auto ask = ask_from("d0");
-    ask.depth = depth_for_returned(16);
+    ask.depth = depth_for_expired_goal(16);
     report(book, "10.0.0.0", 14);
     EXPECT_EQ(chosen_id(book, ask), "e0");
     report(book, "10.0.0.0", 15);
--- a/libs/direct/tests/played_entries.cpp
+++ b/libs/direct/tests/played_entries.cpp
@@ -4,7 +4,7 @@
 
 #include <direct/attempt_limit.hpp>
 #include <direct/placement.hpp>
-#include <direct/repeat.hpp>
+#include <direct/retry.hpp>
 
 #include <algorithm>
 #include <utility>
@@ -21,12 +21,12 @@
 constexpr milliseconds connect_limit{400};
 constexpr std::uint32_t most_attempts = 2;
 
-placement_ask placement(
+placement_query placement(
     world const& state, played_entry const& entry, caller_request const& asked)
 {
     constexpr double cold_per_second = 36;
     constexpr double cold_tolerance = 5;
-    placement_ask ask;
+    placement_query ask;
     ask.service = service_name;
     ask.model = model_name;
     ask.own_domain = entry.domain;
@@ -35,7 +35,7 @@
     ask.entries = state.course.counted_entries.value_or(state.entries.size());
     if (asked.returned)
     {
-        ask.depth = depth_for_returned(state.costs.slots);
+        ask.depth = depth_for_expired_goal(state.costs.slots);
     }
     ask.all_entries = &state.entry_names;
     ask.own_entry = entry.name;
@@ -96,7 +96,7 @@
     auto const left = time_handed_on(asked, state.now);
     if (left <= base::duration::zero())
     {
-        end_attempt(state, asked, use_end::cancelled);
+        end_attempt(state, asked, request_outcome::cancelled);
         after_failure(state, asked, base::ran_state::no);
         return;
     }
@@ -135,7 +135,7 @@
     asked.engine = number;
     asked.written = false;
     asked.decided = state.now;
-    asked.handed = handed_deadline(chosen, asked.deadline);
+    asked.handed = endpoint_deadline(chosen, asked.deadline);
     asked.last_byte = state.now;
     asked.events = 0;
     state.sent[asked.attempt] = {
@@ -150,7 +150,7 @@
                         : milliseconds(-1),
         state.now,
         {}};
-    begin_use(entry.book, endpoint.listed.id, state.now);
+    note_request_begun(entry.book, endpoint.listed.id, state.now);
     auto const late =
         state.course.one_late_write_in > 0 &&
         base::random_below(state.random, state.course.one_late_write_in) == 0;
@@ -178,7 +178,7 @@
         send(state, entry, asked, chosen);
         return true;
     }
-    if (chosen.why != no_choice::none_listed)
+    if (chosen.why != no_endpoint_reason::none_listed)
     {
         return false;
     }
@@ -197,7 +197,7 @@
     }
     auto const& book = state.entries[asked.entry].book;
     auto const& known = book.endpoints.at(id_of_engine(*asked.engine));
-    return give_up_at(
+    return attempt_deadline(
         {.repeats = routing::repetition::resumable,
          .streams = true,
          .goal = caller_goal,
@@ -236,7 +236,7 @@
     {
         auto const silent = state.now - asked.last_byte > stall_time;
         end_attempt(
-            state, asked, silent ? use_end::faulty : use_end::cancelled);
+            state, asked, silent ? request_outcome::faulty : request_outcome::cancelled);
         after_failure(state, asked, ran);
         return;
     }
@@ -245,7 +245,7 @@
     {
         end_attempt(
             state, asked,
-            asked.written ? use_end::faulty : use_end::not_connected);
+            asked.written ? request_outcome::faulty : request_outcome::not_connected);
         after_failure(state, asked, ran);
         return;
     }
@@ -254,20 +254,20 @@
         asked.handed);
     if (asked.events == 0 && begins_by && state.now >= *begins_by)
     {
-        end_attempt(state, asked, use_end::cancelled);
+        end_attempt(state, asked, request_outcome::cancelled);
         after_failure(state, asked, ran);
     }
 }
 
 } // namespace
 
-void end_attempt(world& state, caller_request& asked, use_end how)
+void end_attempt(world& state, caller_request& asked, request_outcome how)
 {
     auto& entry = state.entries[asked.entry];
     auto const engine = *std::exchange(asked.engine, std::nullopt);
-    end_use(entry.book, id_of_engine(engine), how, state.now);
+    note_request_ended(entry.book, id_of_engine(engine), how, state.now);
     auto const attempt = std::exchange(asked.attempt, 0);
-    auto const closes = how == use_end::faulty || how == use_end::cancelled;
+    auto const closes = how == request_outcome::faulty || how == request_outcome::cancelled;
     if (closes && !state.course.ignores_close)
     {
         reach(
@@ -289,7 +289,7 @@
         ++asked.runs;
         asked.ran = ran;
     }
-    repeat_ask const ask{
+    retry_query const ask{
         .repeats = routing::repetition::resumable,
         .ran = ran,
         .runs = asked.runs,
@@ -297,8 +297,8 @@
         .sends = asked.sends,
         .answer_begun = asked.answer_begun};
     auto& entry = state.entries[asked.entry];
-    if (asked.deadline <= state.now || !may_repeat(ask) ||
-        !spend_repeat(entry.repeats, bound, state.entries.size(), state.now))
+    if (asked.deadline <= state.now || !is_retry_allowed(ask) ||
+        !spend_retry(entry.repeats, bound, state.entries.size(), state.now))
     {
         fail(state, asked);
         return;
@@ -317,7 +317,7 @@
     auto& entry = state.entries[asked.entry];
     asked.arrived = state.now;
     asked.wait_until = std::min(
-        state.now + longest_wait(caller_goal, entry.first_answer),
+        state.now + max_wait(caller_goal, entry.first_answer),
         asked.deadline);
     note_request(entry.repeats, state.now);
     auto const stands_back = asked.returned && !entry.line.empty();
--- a/libs/direct/tests/played_fleet.hpp
+++ b/libs/direct/tests/played_fleet.hpp
@@ -5,7 +5,7 @@
 #include "played_engine.hpp"
 
 #include <base/random.hpp>
-#include <direct/endpoint_book.hpp>
+#include <direct/endpoint_table.hpp>
 #include <direct/shares.hpp>
 #include <request/admission.hpp>
 #include <weights/switch_time.hpp>
@@ -94,7 +94,7 @@
 {
     std::string name;
     std::string domain;
-    endpoint_book book;
+    endpoint_table book;
     base::random_state random;
     request::measured_time first_answer;
     retry_window repeats;
--- a/libs/direct/tests/report_sources_tests.cpp
+++ b/libs/direct/tests/report_sources_tests.cpp
@@ -101,14 +101,14 @@
     auto const entries = names(30);
     auto const first = choose_sources(state, "d1", entries, start);
     ASSERT_EQ(first.size(), sources_per_domain);
-    for (auto now = start; now < start + seconds(20); now += pass_interval)
+    for (auto now = start; now < start + seconds(20); now += relay_interval)
     {
         EXPECT_EQ(choose_sources(state, "d1", entries, now), first);
         for (auto const& source : first)
         {
-            note_passed(state, "d1", source, now);
+            note_relayed(state, "d1", source, now);
         }
-        EXPECT_FALSE(must_ask_agents(state, "d1", now));
+        EXPECT_FALSE(must_poll_agents(state, "d1", now));
     }
 }
 
@@ -119,7 +119,7 @@
     auto const entries = names(30);
     auto const first = choose_sources(state, "d1", entries, start);
     std::vector<std::string> asked = first;
-    for (auto now = start; now < start + seconds(3); now += pass_interval)
+    for (auto now = start; now < start + seconds(3); now += relay_interval)
     {
         asked = choose_sources(state, "d1", entries, now);
         EXPECT_NE(std::ranges::find(asked, first[1]), asked.end());
@@ -127,10 +127,10 @@
         {
             if (source != first[0])
             {
-                note_passed(state, "d1", source, now);
+                note_relayed(state, "d1", source, now);
             }
         }
-        EXPECT_FALSE(must_ask_agents(state, "d1", now));
+        EXPECT_FALSE(must_poll_agents(state, "d1", now));
     }
     EXPECT_EQ(std::ranges::find(asked, first[0]), asked.end());
     EXPECT_EQ(asked.size(), sources_per_domain);
@@ -141,13 +141,13 @@
 {
     report_sources state{"own", {}};
     auto const entries = names(3);
-    EXPECT_FALSE(must_ask_agents(state, "d1", start));
+    EXPECT_FALSE(must_poll_agents(state, "d1", start));
     choose_sources(state, "d1", entries, start);
-    EXPECT_FALSE(must_ask_agents(state, "d1", start + seconds(1)));
-    EXPECT_TRUE(must_ask_agents(state, "d1", start + milliseconds(1300)));
+    EXPECT_FALSE(must_poll_agents(state, "d1", start + seconds(1)));
+    EXPECT_TRUE(must_poll_agents(state, "d1", start + milliseconds(1300)));
     choose_sources(state, "d1", entries, start + milliseconds(1600));
-    note_passed(state, "d1", *entries.begin(), start + milliseconds(2000));
-    EXPECT_FALSE(must_ask_agents(state, "d1", start + milliseconds(2100)));
+    note_relayed(state, "d1", *entries.begin(), start + milliseconds(2000));
+    EXPECT_FALSE(must_poll_agents(state, "d1", start + milliseconds(2100)));
 }
 
 // Guards against entries that were restarted being left alone for good.
@@ -156,7 +156,7 @@
     report_sources state{"own", {}};
     auto const entries = names(2);
     std::set<std::string> asked;
-    for (auto now = start; now < start + seconds(9); now += pass_interval)
+    for (auto now = start; now < start + seconds(9); now += relay_interval)
     {
         auto const chosen = choose_sources(state, "d1", entries, now);
         if (now > start + seconds(3) && !chosen.empty())
--- a/libs/direct/tests/shares_tests.cpp
+++ b/libs/direct/tests/shares_tests.cpp
@@ -103,7 +103,7 @@
             auto const own = "10.0." + std::to_string(entry / 256) + "." +
                              std::to_string(entry % 256);
             std::deque<base::time_point> recent;
-            while (draws_part(own, endpoint, bound, assumed) &&
+            while (has_estimated_share(own, endpoint, bound, assumed) &&
                    may_send_within_part(recent, bound, assumed, start))
             {
                 recent.push_back(start);
@@ -170,7 +170,7 @@
         std::size_t sent = 0;
         for (std::size_t entry = 0; entry < entries; ++entry)
         {
-            placement_ask ask;
+            placement_query ask;
             ask.service = "s";
             ask.own_entry = "10.0." + std::to_string(entry / 256) + "." +
                             std::to_string(entry % 256);
@@ -178,7 +178,7 @@
             ask.all_entries = nullptr;
             ask.entries = sharers(entry_count{});
             ask.newcomer = is_newcomer(entry_count{}, start);
-            endpoint_book book;
+            endpoint_table book;
             endpoint_record record;
             record.id = "i-1";
             record.service = "s";
@@ -188,7 +188,7 @@
             base::random_state random{entry};
             while (choose(book, ask, start, random).chosen != nullptr)
             {
-                begin_use(book, "i-1", start);
+                note_request_begun(book, "i-1", start);
                 ++sent;
             }
         }
@@ -386,7 +386,7 @@
         {
             auto const now = start + seconds(second) + milliseconds(request);
             note_request(window, now);
-            repeats += spend_repeat(window, bound, 8, now) ? 1 : 0;
+            repeats += spend_retry(window, bound, 8, now) ? 1 : 0;
         }
     }
     EXPECT_LE(repeats, 0.2 * 300 + 104 / 8.0);
@@ -397,12 +397,12 @@
 {
     retry_window window;
     retry_bound const bound{0.2, seconds(10), 16};
-    while (spend_repeat(window, bound, 8, start))
+    while (spend_retry(window, bound, 8, start))
     {
     }
-    EXPECT_FALSE(spend_repeat(window, bound, 8, start + seconds(9)));
-    EXPECT_TRUE(spend_repeat(window, bound, 8, start + seconds(10)));
-    EXPECT_TRUE(spend_repeat(window, bound, 8, start + seconds(500)));
+    EXPECT_FALSE(spend_retry(window, bound, 8, start + seconds(9)));
+    EXPECT_TRUE(spend_retry(window, bound, 8, start + seconds(10)));
+    EXPECT_TRUE(spend_retry(window, bound, 8, start + seconds(500)));
 }
 
 // Endpoints fail twice, 9.1 s apart. Repeats were counted by whole seconds, and
@@ -421,7 +421,7 @@
             auto spent = 0;
             for (auto const at : {first, first + between})
             {
-                while (spend_repeat(window, bound, 1, start + at))
+                while (spend_retry(window, bound, 1, start + at))
                 {
                     ++spent;
                 }
--- a/libs/direct/tests/store_return_tests.cpp
+++ b/libs/direct/tests/store_return_tests.cpp
@@ -1,4 +1,4 @@
-#include <direct/store_return.hpp>
+#include <direct/store_restore.hpp>
 
 #include <gtest/gtest.h>
 
@@ -22,16 +22,16 @@
     return made;
 }
 
-bool takes_work(endpoint_book const& book, std::string const& id)
+bool takes_work(endpoint_table const& book, std::string const& id)
 {
     auto const found = book.endpoints.find(id);
     return found != book.endpoints.end() && !found->second.listed.draining;
 }
 
 // A list with one that left, one that is leaving and one that stays.
-endpoint_book before_return()
+endpoint_table before_return()
 {
-    endpoint_book book;
+    endpoint_table book;
     for (auto const* id : {"gone", "leaving", "stays"})
     {
         put(book, record(id, false));
@@ -42,7 +42,7 @@
 }
 
 // The copy of before all that.
-void list_copy(endpoint_book& book, base::time_point now)
+void list_copy(endpoint_table& book, base::time_point now)
 {
     replace_all(
         book,
@@ -57,7 +57,7 @@
 TEST(store_return, what_left_is_not_used_while_the_copy_may_be_wrong)
 {
     auto book = before_return();
-    note_return(book, start + milliseconds(100));
+    note_store_restored(book, start + milliseconds(100));
     list_copy(book, start + milliseconds(200));
     EXPECT_FALSE(takes_work(book, "gone"));
     EXPECT_FALSE(takes_work(book, "leaving"));
@@ -70,7 +70,7 @@
 TEST(store_return, what_is_still_listed_after_three_heartbeats_is_believed)
 {
     auto book = before_return();
-    note_return(book, start);
+    note_store_restored(book, start);
     list_copy(book, start);
     expire(book, start + copy_time);
     EXPECT_TRUE(takes_work(book, "gone"));
@@ -81,7 +81,7 @@
 TEST(store_return, what_writes_itself_anew_is_believed_at_once)
 {
     auto book = before_return();
-    note_return(book, start);
+    note_store_restored(book, start);
     list_copy(book, start);
     put(book, record("gone", false));
     EXPECT_TRUE(takes_work(book, "gone"));
@@ -91,9 +91,9 @@
 // and is doubted when the list is read once more.
 TEST(store_return, what_only_lapsed_is_believed_when_it_is_listed_again)
 {
-    endpoint_book book;
+    endpoint_table book;
     put(book, record("joined", false));
-    note_return(book, start);
+    note_store_restored(book, start);
     replace_all(book, {}, true, start);
     expire(book, start + lapse_time);
     EXPECT_FALSE(takes_work(book, "joined"));
@@ -106,9 +106,9 @@
 // store's absence.
 TEST(store_return, what_the_copy_lacks_has_not_left)
 {
-    endpoint_book book;
+    endpoint_table book;
     put(book, record("joined", false));
-    note_return(book, start);
+    note_store_restored(book, start);
     replace_all(book, {}, false, start);
     EXPECT_TRUE(takes_work(book, "joined"));
     expire(book, start + lapse_time);
@@ -121,7 +121,7 @@
 TEST(store_return, what_wrote_itself_anew_is_believed_in_later_lists)
 {
     auto book = before_return();
-    note_return(book, start);
+    note_store_restored(book, start);
     list_copy(book, start);
     put(book, record("gone", false));
     list_copy(book, start + milliseconds(300));
@@ -132,7 +132,7 @@
 TEST(store_return, what_is_removed_meanwhile_does_not_come_back)
 {
     auto book = before_return();
-    note_return(book, start);
+    note_store_restored(book, start);
     list_copy(book, start);
     remove(book, "gone", false, start + milliseconds(3600));
     expire(book, start + copy_time);
@@ -151,9 +151,9 @@
 // Guards against work in a failure domain that the copy does not show as out.
 TEST(store_return, a_domain_that_the_copy_lacks_stays_out_for_a_while)
 {
-    endpoint_book book;
-    take_out(book, "a");
-    note_return(book, start);
+    endpoint_table book;
+    take_out_of_service(book, "a");
+    note_store_restored(book, start);
     EXPECT_TRUE(replace_domains(book, {}, start).empty());
     EXPECT_TRUE(expire_domains(book, start + milliseconds(29999)).empty());
     EXPECT_TRUE(book.domains_out.contains("a"));
@@ -166,20 +166,20 @@
 // Guards against a domain that comes back because it once was held out.
 TEST(store_return, a_domain_that_is_written_again_is_out_as_before)
 {
-    endpoint_book book;
-    take_out(book, "a");
-    note_return(book, start);
+    endpoint_table book;
+    take_out_of_service(book, "a");
+    note_store_restored(book, start);
     replace_domains(book, {}, start);
-    take_out(book, "a");
+    take_out_of_service(book, "a");
     EXPECT_TRUE(expire_domains(book, start + held_out_time).empty());
     EXPECT_TRUE(book.domains_out.contains("a"));
-    EXPECT_TRUE(take_in(book, "a"));
+    EXPECT_TRUE(return_to_service(book, "a"));
 }
 
 TEST(store_return, without_a_return_a_domain_comes_back_with_the_list)
 {
-    endpoint_book book;
-    take_out(book, "a");
+    endpoint_table book;
+    take_out_of_service(book, "a");
     EXPECT_EQ(replace_domains(book, {}, start), std::vector<std::string>{"a"});
     EXPECT_TRUE(book.domains_out.empty());
 }
@@ -187,7 +187,7 @@
 // Guards against a memory that grows with each endpoint that ever left.
 TEST(store_return, the_memory_of_what_left_is_bounded)
 {
-    endpoint_book book;
+    endpoint_table book;
     for (std::size_t number = 0; number < 3 * most_left; ++number)
     {
         note_left(book, std::to_string(number), start);
--- a/libs/gateway/include/gateway/entry_context.hpp
+++ b/libs/gateway/include/gateway/entry_context.hpp
@@ -3,7 +3,7 @@
 
 #include <base/boot_clock.hpp>
 #include <base/random.hpp>
-#include <direct/endpoint_book.hpp>
+#include <direct/endpoint_table.hpp>
 #include <direct/process_pause.hpp>
 #include <direct/shares.hpp>
 #include <gateway/connection_pool.hpp>
@@ -60,12 +60,12 @@
     std::shared_ptr<routing::configuration const> configuration;
     // When the read began that last confirmed it.
     std::optional<base::boot_time> confirmed;
-    direct::endpoint_book book;
+    direct::endpoint_table book;
     direct::process_pause pause;
     // How long the machine was suspended since its start, as last seen.
     std::chrono::milliseconds suspended{0};
     direct::entry_count entries;
-    direct::part_memory parts;
+    direct::share_cache parts;
     // IP addresses of all entries that were seen, this one among them.
     std::set<std::string> entry_addresses;
     // Entries of each failure domain that were last named alive together.
--- a/libs/gateway/src/call.cpp
+++ b/libs/gateway/src/call.cpp
@@ -155,15 +155,15 @@
     auto const goal = chosen.goal.count() > 0 ? chosen.goal : time;
     this->returned = this->has_returned(goal);
     auto const& first_answer = this->context->first_answer[this->service_name];
-    this->wait_until = this->arrived + direct::longest_wait(goal, first_answer);
+    this->wait_until = this->arrived + direct::max_wait(goal, first_answer);
     this->wait_until = std::min(this->wait_until, this->deadline);
     return true;
 }
 
-direct::placement_ask call::placement() const
+direct::placement_query call::placement() const
 {
     auto const& bounds = this->context->settings.promised;
-    direct::placement_ask ask;
+    direct::placement_query ask;
     ask.service = this->service_name;
     ask.model = this->service->engine ? this->said.model : std::string();
     ask.own_domain = this->context->settings.failure_domain;
@@ -174,7 +174,7 @@
     ask.entries = direct::sharers(this->context->entries);
     if (this->returned && this->service->engine)
     {
-        ask.depth = direct::depth_for_returned(this->service->engine->slots);
+        ask.depth = direct::depth_for_expired_goal(this->service->engine->slots);
     }
     ask.all_entries = &this->context->entry_addresses;
     ask.own_entry = this->context->settings.ip;
@@ -218,14 +218,14 @@
         this->send(chosen);
         return true;
     }
-    if (may_wait && chosen.why != direct::no_choice::none_listed)
+    if (may_wait && chosen.why != direct::no_endpoint_reason::none_listed)
     {
         return false;
     }
     this->fail(
         direct::final_error(this->ran_so_far, false),
-        chosen.why == direct::no_choice::none_listed ? "no endpoint is listed"
-        : chosen.why == direct::no_choice::no_weights
+        chosen.why == direct::no_endpoint_reason::none_listed ? "no endpoint is listed"
+        : chosen.why == direct::no_endpoint_reason::no_weights
             ? "no endpoint has the weights"
             : "all endpoints are busy");
     return true;
@@ -338,7 +338,7 @@
         // still came do not.
         auto const silent = now - this->current->last_byte > direct::stall_time;
         this->end_attempt(
-            silent ? direct::use_end::faulty : direct::use_end::cancelled);
+            silent ? direct::request_outcome::faulty : direct::request_outcome::cancelled);
         this->after_failure(ran, "time is up");
         return;
     }
@@ -347,15 +347,15 @@
     {
         auto const ran = connected ? ran_state::unknown : ran_state::no;
         this->end_attempt(
-            connected ? direct::use_end::faulty
-                      : direct::use_end::not_connected);
+            connected ? direct::request_outcome::faulty
+                      : direct::request_outcome::not_connected);
         this->after_failure(ran, "endpoint is silent");
         return;
     }
     auto const begins_by = this->beginning_limit();
     if (begins_by && now >= *begins_by)
     {
-        this->end_attempt(direct::use_end::cancelled);
+        this->end_attempt(direct::request_outcome::cancelled);
         this->after_failure(
             connected ? ran_state::unknown : ran_state::no,
             "version ended before it began");
@@ -379,7 +379,7 @@
     {
         return now_running.begun + connect_limit;
     }
-    return direct::give_up_at(
+    return direct::attempt_deadline(
         {.repeats = chosen.repeats,
          .streams = chosen.streams,
          .goal = chosen.goal,
@@ -401,7 +401,7 @@
     }
     return direct::must_begin_by(
         this->context->book, this->said.model, this->version,
-        this->current->handed_deadline);
+        this->current->endpoint_deadline);
 }
 
 void call::on_caller_gone()
@@ -414,7 +414,7 @@
     this->leave_line();
     if (this->current)
     {
-        this->end_attempt(direct::use_end::cancelled);
+        this->end_attempt(direct::request_outcome::cancelled);
     }
     this->context->counters.count_error(error_kind::caller_gone);
     this->log(
--- a/libs/gateway/src/call.hpp
+++ b/libs/gateway/src/call.hpp
@@ -2,7 +2,7 @@
 #define FOXTAILVALE_GATEWAY_CALL_HPP
 
 #include <direct/placement.hpp>
-#include <direct/repeat.hpp>
+#include <direct/retry.hpp>
 #include <gateway/entry_context.hpp>
 #include <gateway/event_splitter.hpp>
 #include <kernel/events.hpp>
@@ -35,7 +35,7 @@
     std::string body;
     event_splitter events;
     bool is_stream = false;
-    base::time_point handed_deadline;
+    base::time_point endpoint_deadline;
     // Its bytes were given to the connection.
     bool is_handed_on = false;
     // Events of this attempt that were passed on.
@@ -52,7 +52,7 @@
 // attempt, as its end is told afterwards.
 struct attempt_sight
 {
-    direct::expectation expected;
+    direct::placement_estimate expected;
     base::time_point sent;
     // When the first event came, and how long before the end of the version,
     // as known then.
@@ -86,7 +86,7 @@
     bool has_returned(std::chrono::milliseconds goal) const;
     bool has_line() const;
     bool place(bool may_wait);
-    direct::placement_ask placement() const;
+    direct::placement_query placement() const;
     void wait();
     void leave_line();
     // It has waited for as long as it may.
@@ -112,8 +112,8 @@
     void note_event();
     void on_end(std::uint64_t number, net::exchange_result const& result);
     bool is_current(std::uint64_t number) const;
-    void end_attempt(direct::use_end how);
-    void note_cut();
+    void end_attempt(direct::request_outcome how);
+    void note_lost_answer();
     void after_failure(base::ran_state ran, char const* reason);
     void answer();
     void begin_answer();
--- a/libs/gateway/src/call_attempt.cpp
+++ b/libs/gateway/src/call_attempt.cpp
@@ -61,9 +61,9 @@
     this->current->begun = now;
     this->current->decided = base::boot_now();
     this->current->last_byte = now;
-    this->current->handed_deadline =
-        direct::handed_deadline(chosen, this->deadline);
-    direct::begin_use(this->context->book, target.id, now);
+    this->current->endpoint_deadline =
+        direct::endpoint_deadline(chosen, this->deadline);
+    direct::note_request_begun(this->context->book, target.id, now);
     this->note_placed(chosen);
     auto const number = this->attempt_number;
     auto const self = this->shared_from_this();
@@ -94,7 +94,7 @@
         return std::nullopt;
     }
     auto const left = std::chrono::duration_cast<milliseconds>(
-        this->current->handed_deadline - clock::now());
+        this->current->endpoint_deadline - clock::now());
     if (left <= milliseconds(0) ||
         base::boot_now() >= this->current->decided + connect_limit)
     {
@@ -164,7 +164,7 @@
     now_running.body.append(data);
     if (now_running.body.size() > most_body_bytes)
     {
-        this->end_attempt(direct::use_end::faulty);
+        this->end_attempt(direct::request_outcome::faulty);
         this->after_failure(ran_state::yes, "answer is too large");
     }
 }
@@ -185,7 +185,7 @@
                 this->last_event ? *this->last_event + 1 : *event.id;
             if (*event.id != expected)
             {
-                this->end_attempt(direct::use_end::faulty);
+                this->end_attempt(direct::request_outcome::faulty);
                 this->after_failure(ran_state::yes, "events are missing");
                 return;
             }
@@ -241,9 +241,9 @@
     {
         auto const misdirected = now_running.said.misdirected;
         this->end_attempt(
-            ran != ran_state::no ? direct::use_end::faulty
-            : misdirected        ? direct::use_end::misdirected
-                                 : direct::use_end::declined);
+            ran != ran_state::no ? direct::request_outcome::faulty
+            : misdirected        ? direct::request_outcome::misdirected
+                                 : direct::request_outcome::declined);
         this->after_failure(
             ran, ran == ran_state::no ? "endpoint declined"
                                       : "answer is not the endpoint's");
@@ -251,30 +251,30 @@
     }
     if (result.end == net::exchange_end::withheld)
     {
-        this->end_attempt(direct::use_end::cancelled);
+        this->end_attempt(direct::request_outcome::cancelled);
         this->after_failure(ran_state::no, "time was up before it was written");
         return;
     }
     if (!result.written)
     {
         note_gone(*this->context, now_running.endpoint);
-        this->end_attempt(direct::use_end::not_connected);
+        this->end_attempt(direct::request_outcome::not_connected);
         this->after_failure(ran_state::no, "no connection");
         return;
     }
-    this->note_cut();
-    this->end_attempt(direct::use_end::faulty);
+    this->note_lost_answer();
+    this->end_attempt(direct::request_outcome::faulty);
     this->after_failure(ran, "answer was cut");
 }
 
-void call::note_cut()
+void call::note_lost_answer()
 {
     if (this->current->events_sent > 0 || this->current->facts.head_seen)
     {
         // What crashes an endpoint does so as it begins to run.
         return;
     }
-    direct::note_cut(
+    direct::note_lost_answer(
         this->context->book, this->current->endpoint, this->print,
         clock::now());
     probe_connection(
@@ -289,11 +289,11 @@
         });
 }
 
-void call::end_attempt(direct::use_end how)
+void call::end_attempt(direct::request_outcome how)
 {
     auto const ended = std::move(*this->current);
     this->current.reset();
-    direct::end_use(this->context->book, ended.endpoint, how, clock::now());
+    direct::note_request_ended(this->context->book, ended.endpoint, how, clock::now());
     if (ended.connection->is_idle())
     {
         this->context->pool.give(ended.address, ended.connection);
@@ -313,7 +313,7 @@
         this->ran_so_far = ran;
     }
     auto const time_is_up = this->time_left() <= milliseconds(0);
-    direct::repeat_ask const ask{
+    direct::retry_query const ask{
         .repeats = this->allowed.chosen->repeats,
         .ran = ran,
         .runs = this->runs,
@@ -322,13 +322,13 @@
         .answer_begun = this->answer_begun};
     auto const suspect =
         request::is_suspect(this->context->suspects, this->print);
-    if (time_is_up || suspect || !direct::may_repeat(ask))
+    if (time_is_up || suspect || !direct::is_retry_allowed(ask))
     {
         this->fail(direct::final_error(this->ran_so_far, time_is_up), reason);
         return;
     }
     auto const& bounds = this->context->settings.promised;
-    if (!direct::spend_repeat(
+    if (!direct::spend_retry(
             this->context->repeats[this->service_name],
             {bounds.retry_ratio, bounds.retry_window, bounds.retry_slack},
             direct::sharers(this->context->entries), clock::now()))
--- a/libs/gateway/src/domain_reports.cpp
+++ b/libs/gateway/src/domain_reports.cpp
@@ -116,7 +116,7 @@
 {
     this->ask_sources();
     this->pass_on();
-    this->timer.expires_after(direct::pass_interval);
+    this->timer.expires_after(direct::relay_interval);
     this->timer.async_wait(
         [self = this->shared_from_this()](boost::system::error_code error)
         {
@@ -140,7 +140,7 @@
     std::set<std::string> found{this->home_domain()};
     for (auto const& [domain, known] : this->sources.domains)
     {
-        if (direct::must_ask_agents(this->sources, domain, now))
+        if (direct::must_poll_agents(this->sources, domain, now))
         {
             found.insert(domain);
         }
@@ -258,12 +258,12 @@
 {
     auto const now = clock::now();
     auto& shared = *this->context;
-    direct::note_passed(this->sources, passed.failure_domain(), from, now);
+    direct::note_relayed(this->sources, passed.failure_domain(), from, now);
     for (auto const& report : passed.reports())
     {
         auto const agent =
             boost::asio::ip::address_v4(report.agent()).to_string();
-        direct::note_passed_report(
+        direct::note_relayed_report(
             shared.book, agent, read_report(passed, report, now),
             now - milliseconds(report.age_ms()));
         if (report.unreachable())
--- a/libs/gateway/src/entry_views.cpp
+++ b/libs/gateway/src/entry_views.cpp
@@ -1,4 +1,4 @@
-#include <direct/store_return.hpp>
+#include <direct/store_restore.hpp>
 #include <gateway/entry_views.hpp>
 #include <kernel/events.hpp>
 
@@ -117,18 +117,18 @@
         [self = this->shared_from_this(), kind](
             platform::store_position const& before, platform::store_position const& now)
     {
-        self->note_return(kind, before, now);
+        self->note_store_restored(kind, before, now);
     };
     this->kept.push_back(std::make_shared<view_feed>(
         this->context->loop, chosen, std::move(handlers), std::move(numbers)));
 }
 
-void entry_views::note_return(
+void entry_views::note_store_restored(
     platform::object_kind kind,
     platform::store_position const& before,
     platform::store_position const& now)
 {
-    direct::note_return(this->context->book, clock::now());
+    direct::note_store_restored(this->context->book, clock::now());
     this->context->counters.count(
         "foxtailvale_store_returns_total", {{"view", name_of(kind)}});
     kernel::log_event(
@@ -292,11 +292,11 @@
 void entry_views::take_domain(platform::store_object const& object)
 {
     auto& book = this->context->book;
-    if (object.removed && direct::take_in(book, object.name))
+    if (object.removed && direct::return_to_service(book, object.name))
     {
         log_domains_in({object.name});
     }
-    if (!object.removed && direct::take_out(book, object.name))
+    if (!object.removed && direct::take_out_of_service(book, object.name))
     {
         kernel::log_event(
             kernel::event_id::domain_out, {{"failure_domain", object.name}});
@@ -363,7 +363,7 @@
     }
     auto const bound = this->context->settings.promised.version;
     auto const learned = clock::now() - (base::boot_now() - accepted);
-    auto const is_new = direct::name_version(
+    auto const is_new = direct::announce_version(
         this->context->book, read->model,
         {read->version, learned, learned + bound - version_margin});
     if (!is_new)
--- a/libs/gateway/src/view_relay.cpp
+++ b/libs/gateway/src/view_relay.cpp
@@ -57,14 +57,14 @@
         std::max<std::int64_t>(0, (now - then.value_or(now)).count()));
 }
 
-direct::watch_word word_of(wire::ViewNotice const& notice)
+direct::watch_status word_of(wire::ViewNotice const& notice)
 {
     if (notice.fresh())
     {
-        return direct::watch_word::fresh;
+        return direct::watch_status::fresh;
     }
-    return notice.watching() ? direct::watch_word::looking
-                             : direct::watch_word::not_watching;
+    return notice.watching() ? direct::watch_status::looking
+                             : direct::watch_status::not_watching;
 }
 
 // A number at the front of the text, which is taken off.
@@ -357,7 +357,7 @@
     {
         for (auto const& [domain, entries] : by_domain)
         {
-            if (direct::tells_at_once(this->duty, domain, now))
+            if (direct::notifies_immediately(this->duty, domain, now))
             {
                 told.insert(entries.begin(), entries.end());
                 continue;
@@ -518,7 +518,7 @@
         direct::follow(this->duty, now);
         this->change_duty();
     }
-    if (!direct::may_take_from(this->duty, notice.failure_domain(), now))
+    if (!direct::accepts_views_from(this->duty, notice.failure_domain(), now))
     {
         return;
     }
@@ -544,7 +544,7 @@
         else if (sent && feed->mark().era == told.era)
         {
             feed->confirm_by_peer(told, *sent - milliseconds(mark.age_ms()));
-            this->note_followed(mark.kind(), *sent);
+            this->note_views_confirmed(mark.kind(), *sent);
         }
     }
 }
@@ -578,7 +578,7 @@
     }
 }
 
-void view_relay::note_followed(std::uint32_t kind, base::boot_time asked_at)
+void view_relay::note_views_confirmed(std::uint32_t kind, base::boot_time asked_at)
 {
     this->followed[kind] = asked_at;
     auto least = asked_at;
@@ -592,7 +592,7 @@
         }
         least = std::min(least, found->second);
     }
-    direct::note_followed(this->duty, least);
+    direct::note_views_confirmed(this->duty, least);
 }
 
 void view_relay::fetch_page(
@@ -653,7 +653,7 @@
     // One that watches by now takes what its watch brings, in order.
     if (!this->duty.watching && target->take_page(std::string(text), as_of))
     {
-        this->note_followed(kind, as_of);
+        this->note_views_confirmed(kind, as_of);
     }
 }
 
