--- a/libs/agent_core/src/transfer_flow.cpp
+++ b/libs/agent_core/src/transfer_flow.cpp
@@ -399,7 +399,8 @@
     // Wrong bytes are a failed draw: the next waits, so that a passing fault
     // does not use up the origin's link.
     end_draw(
-        kept ? weights::origin_fetch_outcome::good : weights::origin_fetch_outcome::failed);
+        kept ? weights::origin_fetch_outcome::good
+             : weights::origin_fetch_outcome::failed);
     if (kept)
     {
         return;
--- a/libs/agent_core/src/weights_parts.cpp
+++ b/libs/agent_core/src/weights_parts.cpp
@@ -49,7 +49,8 @@
     out.push_back(std::move(message));
 }
 
-weights::origin_fetch_outcome outcome_of(std::optional<base::error> const& failure)
+weights::origin_fetch_outcome
+outcome_of(std::optional<base::error> const& failure)
 {
     if (!failure)
     {
--- a/libs/agent_core/src/weights_parts.hpp
+++ b/libs/agent_core/src/weights_parts.hpp
@@ -27,7 +27,8 @@
 std::vector<bool> read_bitmap(std::string const& bits);
 
 // How a draw ended, from its error; good when there is none.
-weights::origin_fetch_outcome outcome_of(std::optional<base::error> const& failure);
+weights::origin_fetch_outcome
+outcome_of(std::optional<base::error> const& failure);
 
 // Asks for a manifest that is still missing, when it is time.
 void ask_for_manifest(
--- a/libs/agent_core/tests/fake_fleet.cpp
+++ b/libs/agent_core/tests/fake_fleet.cpp
@@ -202,7 +202,8 @@
         [&](auto const& entry)
         {
             return !entry.second.alive ||
-                   weights::is_complete(entry.second.core.weights.store, digest);
+                   weights::is_complete(
+                       entry.second.core.weights.store, digest);
         });
 }
 
--- a/libs/control/include/control/membership.hpp
+++ b/libs/control/include/control/membership.hpp
@@ -130,7 +130,8 @@
 
 // Whether a plan may give the endpoint something to hold. One that leaves
 // loses its replicas at once, a new one gets some when it is heard.
-bool may_hold_replicas(member const& known, bool held_before, base::time_point now);
+bool may_hold_replicas(
+    member const& known, bool held_before, base::time_point now);
 
 // Suspects all that have been silent too long; returns the newly suspected.
 std::vector<std::string>
--- a/libs/control/src/membership.cpp
+++ b/libs/control/src/membership.cpp
@@ -176,7 +176,8 @@
     known.state = known.vm.leaving ? liveness::leaving : reported;
 }
 
-bool may_hold_replicas(member const& known, bool held_before, base::time_point now)
+bool may_hold_replicas(
+    member const& known, bool held_before, base::time_point now)
 {
     switch (known.state)
     {
@@ -191,7 +192,8 @@
     return held_before && now - known.absent_since < replica_move_delay;
 }
 
-std::vector<std::string> suspect_unresponsive(membership& state, base::time_point now)
+std::vector<std::string>
+suspect_unresponsive(membership& state, base::time_point now)
 {
     std::vector<std::string> suspects;
     for (auto& [name, known] : state.members)
--- a/libs/direct/include/direct/attempt_limit.hpp
+++ b/libs/direct/include/direct/attempt_limit.hpp
@@ -47,7 +47,8 @@
 // that it may have run. Failure: callers whose requests had been repeated at a
 // second machine that stood still waited there until they left, and the engines
 // ran for nobody what they had read. Who is told in time asks again.
-std::optional<base::time_point> attempt_deadline(attempt_progress const& attempt);
+std::optional<base::time_point>
+attempt_deadline(attempt_progress const& attempt);
 
 } // namespace foxtailvale::direct
 
--- a/libs/direct/include/direct/endpoint_table.hpp
+++ b/libs/direct/include/direct/endpoint_table.hpp
@@ -37,7 +37,8 @@
 // the list, their agents were to draw a sixth of a version's chunks and were
 // stopped half a second later; the origin died, and the fleet missed two chunks
 // for six seconds. Planned work says that an endpoint leaves seconds ahead.
-bool participates_in_transfer(endpoint_record const& endpoint, std::string const& service);
+bool participates_in_transfer(
+    endpoint_record const& endpoint, std::string const& service);
 
 // An endpoint as the platform lists it.
 struct endpoint_record
@@ -198,11 +199,15 @@
 // When this version of the model stops to begin requests, as far as newer ones
 // are known; nothing for the newest.
 std::optional<base::time_point> version_retires_at(
-    endpoint_table const& book, std::string const& model, std::uint64_t version);
+    endpoint_table const& book,
+    std::string const& model,
+    std::uint64_t version);
 
 // When the first version newer than this one was named; nothing for the newest.
 std::optional<base::time_point> superseded_at(
-    endpoint_table const& book, std::string const& model, std::uint64_t version);
+    endpoint_table const& book,
+    std::string const& model,
+    std::uint64_t version);
 
 // How an own request at an endpoint ended, as far as the endpoint is judged.
 enum class request_outcome
@@ -240,8 +245,8 @@
 // The endpoint is gone: the requests that were cut there a moment before, each
 // told once. Failure: lost answers were taken for crashes, and everybody who
 // asked the same was refused for minutes while the endpoints lived.
-std::vector<std::uint64_t>
-take_lost_answers(endpoint_table& book, std::string const& id, base::time_point now);
+std::vector<std::uint64_t> take_lost_answers(
+    endpoint_table& book, std::string const& id, base::time_point now);
 
 // Anything came from the endpoint.
 void note_heard(
--- a/libs/direct/src/attempt_limit.cpp
+++ b/libs/direct/src/attempt_limit.cpp
@@ -75,7 +75,8 @@
     return is_stalled(state, now) || agent_silent || agent_says;
 }
 
-std::optional<base::time_point> attempt_deadline(attempt_progress const& attempt)
+std::optional<base::time_point>
+attempt_deadline(attempt_progress const& attempt)
 {
     auto const is_last = is_last_attempt(attempt);
     if (is_last && !attempt.lost)
--- a/libs/direct/src/endpoint_book.cpp
+++ b/libs/direct/src/endpoint_book.cpp
@@ -107,7 +107,8 @@
 
 } // namespace
 
-bool participates_in_transfer(endpoint_record const& endpoint, std::string const& service)
+bool participates_in_transfer(
+    endpoint_record const& endpoint, std::string const& service)
 {
     return endpoint.service == service && !endpoint.draining;
 }
@@ -279,7 +280,8 @@
     return earliest_of_newer(book, model, version, &named_version::learned);
 }
 
-void note_request_begun(endpoint_table& book, std::string const& id, base::time_point now)
+void note_request_begun(
+    endpoint_table& book, std::string const& id, base::time_point now)
 {
     auto const found = book.endpoints.find(id);
     if (found == book.endpoints.end())
@@ -361,8 +363,8 @@
     cuts.emplace_back(request, now);
 }
 
-std::vector<std::uint64_t>
-take_lost_answers(endpoint_table& book, std::string const& id, base::time_point now)
+std::vector<std::uint64_t> take_lost_answers(
+    endpoint_table& book, std::string const& id, base::time_point now)
 {
     std::vector<std::uint64_t> requests;
     auto const found = book.endpoints.find(id);
--- a/libs/direct/src/placement.cpp
+++ b/libs/direct/src/placement.cpp
@@ -168,7 +168,9 @@
 // many entries as there are free slots, and some more since not all have a
 // request, draw the lot; the next draw is a tenth of a second later.
 bool draws_lot(
-    endpoint_state const& state, placement_query const& ask, base::time_point now)
+    endpoint_state const& state,
+    placement_query const& ask,
+    base::time_point now)
 {
     if (ask.entries <= 1 || !is_fresh(state, now))
     {
@@ -194,7 +196,9 @@
 // stood still, and what entries had gone on sending to them ran at their
 // return, after its callers had left.
 bool may_try(
-    endpoint_state const& state, placement_query const& ask, base::time_point now)
+    endpoint_state const& state,
+    placement_query const& ask,
+    base::time_point now)
 {
     if (state.own_running > 0)
     {
@@ -208,8 +212,8 @@
 }
 
 // Entries of failure domains in which nothing can serve the request.
-std::set<std::string>
-entries_without_endpoints(endpoint_table const& book, placement_query const& ask)
+std::set<std::string> entries_without_endpoints(
+    endpoint_table const& book, placement_query const& ask)
 {
     std::set<std::string_view> served;
     for (auto const& [id, state] : book.endpoints)
@@ -313,7 +317,8 @@
     }
     if (!ask.model.empty())
     {
-        found.ends = version_retires_at(book, ask.model, weights_of(state, now).version);
+        found.ends =
+            version_retires_at(book, ask.model, weights_of(state, now).version);
     }
     return found;
 }
--- a/libs/direct/src/store_return.cpp
+++ b/libs/direct/src/store_return.cpp
@@ -45,7 +45,8 @@
     return is_within(book.doubt.returned, copy_time, now);
 }
 
-void note_left(endpoint_table& book, std::string const& id, base::time_point now)
+void note_left(
+    endpoint_table& book, std::string const& id, base::time_point now)
 {
     auto& doubt = book.doubt;
     if (doubt.left.size() >= most_left)
--- a/libs/direct/src/watch_duty.cpp
+++ b/libs/direct/src/watch_duty.cpp
@@ -234,7 +234,8 @@
         {
             auto const watcher = state.watchers.find(name);
             return watcher != state.watchers.end() &&
-                   !accepts_views_from(state, watcher->second.failure_domain, now);
+                   !accepts_views_from(
+                       state, watcher->second.failure_domain, now);
         });
     chosen.resize(std::min(chosen.size(), most_asked));
     return chosen;
--- a/libs/direct/tests/attempt_limit_tests.cpp
+++ b/libs/direct/tests/attempt_limit_tests.cpp
@@ -46,7 +46,8 @@
 {
     EXPECT_EQ(attempt_deadline(stream()), start + milliseconds(1600));
     EXPECT_EQ(
-        attempt_deadline(at_lost_endpoint(stream())), start + milliseconds(800));
+        attempt_deadline(at_lost_endpoint(stream())),
+        start + milliseconds(800));
 }
 
 TEST(attempt_limit, the_last_attempt_waits_for_an_endpoint_that_lives)
--- a/libs/direct/tests/endpoint_book_tests.cpp
+++ b/libs/direct/tests/endpoint_book_tests.cpp
@@ -209,7 +209,8 @@
     EXPECT_TRUE(is_stalled(state, start + milliseconds(600)));
     note_heard(book, "a", start + milliseconds(550));
     EXPECT_FALSE(is_stalled(state, start + milliseconds(600)));
-    note_request_ended(book, "a", request_outcome::answered, start + milliseconds(700));
+    note_request_ended(
+        book, "a", request_outcome::answered, start + milliseconds(700));
     EXPECT_FALSE(is_stalled(state, start + seconds(60)));
 }
 
--- a/libs/direct/tests/placement_tests.cpp
+++ b/libs/direct/tests/placement_tests.cpp
@@ -504,7 +504,9 @@
         ++counts[id];
         note_request_begun(book, id, now);
         auto const faulty = id == "e0" && base::random_below(random, 10) < 4;
-        note_request_ended(book, id, faulty ? request_outcome::faulty : request_outcome::answered, now);
+        note_request_ended(
+            book, id,
+            faulty ? request_outcome::faulty : request_outcome::answered, now);
     }
     EXPECT_LT(counts["e0"], counts["e2"] / 2);
 }
--- a/libs/direct/tests/played_agents.cpp
+++ b/libs/direct/tests/played_agents.cpp
@@ -214,7 +214,8 @@
     if (own.switching || own.busy || own.verifying || own.ordering ||
         own.seen.weights.version >= target || state.now < own.order_again ||
         missing_chunks(state, number, target) > 0 ||
-        state.now < weights::planned_switch_time(switch_ask_of(state, number), target))
+        state.now <
+            weights::planned_switch_time(switch_ask_of(state, number), target))
     {
         return;
     }
--- a/libs/direct/tests/played_entries.cpp
+++ b/libs/direct/tests/played_entries.cpp
@@ -236,7 +236,8 @@
     {
         auto const silent = state.now - asked.last_byte > stall_time;
         end_attempt(
-            state, asked, silent ? request_outcome::faulty : request_outcome::cancelled);
+            state, asked,
+            silent ? request_outcome::faulty : request_outcome::cancelled);
         after_failure(state, asked, ran);
         return;
     }
@@ -245,7 +246,8 @@
     {
         end_attempt(
             state, asked,
-            asked.written ? request_outcome::faulty : request_outcome::not_connected);
+            asked.written ? request_outcome::faulty
+                          : request_outcome::not_connected);
         after_failure(state, asked, ran);
         return;
     }
@@ -267,7 +269,8 @@
     auto const engine = *std::exchange(asked.engine, std::nullopt);
     note_request_ended(entry.book, id_of_engine(engine), how, state.now);
     auto const attempt = std::exchange(asked.attempt, 0);
-    auto const closes = how == request_outcome::faulty || how == request_outcome::cancelled;
+    auto const closes =
+        how == request_outcome::faulty || how == request_outcome::cancelled;
     if (closes && !state.course.ignores_close)
     {
         reach(
@@ -317,8 +320,7 @@
     auto& entry = state.entries[asked.entry];
     asked.arrived = state.now;
     asked.wait_until = std::min(
-        state.now + max_wait(caller_goal, entry.first_answer),
-        asked.deadline);
+        state.now + max_wait(caller_goal, entry.first_answer), asked.deadline);
     note_request(entry.repeats, state.now);
     auto const stands_back = asked.returned && !entry.line.empty();
     if (stands_back || !place(state, asked))
--- a/libs/direct/tests/repeat_tests.cpp
+++ b/libs/direct/tests/repeat_tests.cpp
@@ -73,12 +73,12 @@
 
 TEST(is_retry_allowed, what_may_run_once_is_repeated_only_when_it_did_not_run)
 {
-    EXPECT_TRUE(
-        is_retry_allowed(failed_once(repetition::non_idempotent, ran_state::no)));
+    EXPECT_TRUE(is_retry_allowed(
+        failed_once(repetition::non_idempotent, ran_state::no)));
     EXPECT_FALSE(is_retry_allowed(
         failed_once(repetition::non_idempotent, ran_state::unknown)));
-    EXPECT_FALSE(
-        is_retry_allowed(failed_once(repetition::non_idempotent, ran_state::yes)));
+    EXPECT_FALSE(is_retry_allowed(
+        failed_once(repetition::non_idempotent, ran_state::yes)));
 }
 
 TEST(is_retry_allowed, what_may_run_again_is_repeated_up_to_its_attempts)
--- a/libs/direct/tests/watch_duty_tests.cpp
+++ b/libs/direct/tests/watch_duty_tests.cpp
@@ -167,8 +167,8 @@
             {
                 // It said so when it stopped.
                 note_watcher(
-                    duty, other.own, other.own_domain, watch_status::not_watching,
-                    this->now);
+                    duty, other.own, other.own_domain,
+                    watch_status::not_watching, this->now);
                 continue;
             }
             auto const fresh = this->is_fresh(other);
--- a/libs/entry_core/src/flows.hpp
+++ b/libs/entry_core/src/flows.hpp
@@ -17,7 +17,10 @@
     base::time_point now,
     actions& out);
 void on_caller_left(
-    state& state, caller_disconnected const& left, base::time_point now, actions& out);
+    state& state,
+    caller_disconnected const& left,
+    base::time_point now,
+    actions& out);
 // The deadline passed.
 void end_late(
     state& state, open_request& open, base::time_point now, actions& out);
--- a/libs/entry_core/src/membership_flow.cpp
+++ b/libs/entry_core/src/membership_flow.cpp
@@ -324,7 +324,8 @@
         return;
     }
     gossip.last_check = now;
-    for (auto const& name : control::suspect_unresponsive(state.control.members, now))
+    for (auto const& name :
+         control::suspect_unresponsive(state.control.members, now))
     {
         out.push_back(core::write_log{
             kernel::event_id::peer_suspected, {{"peer", name}}});
--- a/libs/entry_core/src/request_flow.cpp
+++ b/libs/entry_core/src/request_flow.cpp
@@ -166,7 +166,10 @@
 }
 
 void on_caller_left(
-    state& state, caller_disconnected const& left, base::time_point now, actions& out)
+    state& state,
+    caller_disconnected const& left,
+    base::time_point now,
+    actions& out)
 {
     auto const found = state.requests.open.find(left.caller);
     if (found == state.requests.open.end())
--- a/libs/gateway/include/gateway/cached_view.hpp
+++ b/libs/gateway/include/gateway/cached_view.hpp
@@ -93,7 +93,8 @@
 // Never goes back.
 void confirm(kept_view& state, base::boot_time until);
 
-view_page page_after(kept_view const& state, platform::store_position const& known);
+view_page
+page_after(kept_view const& state, platform::store_position const& known);
 
 } // namespace foxtailvale::gateway
 
--- a/libs/gateway/include/gateway/store_watch.hpp
+++ b/libs/gateway/include/gateway/store_watch.hpp
@@ -39,7 +39,8 @@
     // The store came back from a copy; what it holds now is handed on next.
     // May be empty.
     std::function<void(
-        platform::store_position const& before, platform::store_position const& now)>
+        platform::store_position const& before,
+        platform::store_position const& now)>
         on_return;
 };
 
--- a/libs/gateway/include/gateway/view_feed.hpp
+++ b/libs/gateway/include/gateway/view_feed.hpp
@@ -58,8 +58,8 @@
 
     // Another entry's view of this mark was confirmed until then. Counts only
     // if all of it is known here and nothing of a later era is.
-    void
-    confirm_by_peer(platform::store_position const& mark, base::boot_time until);
+    void confirm_by_peer(
+        platform::store_position const& mark, base::boot_time until);
 
     // What changed since the mark, as another entry takes it.
     std::string page_for(platform::store_position const& known) const;
--- a/libs/gateway/src/agent_context.cpp
+++ b/libs/gateway/src/agent_context.cpp
@@ -38,7 +38,8 @@
     return true;
 }
 
-std::vector<weights::announced_target> const& targets_of(agent_context const& state)
+std::vector<weights::announced_target> const&
+targets_of(agent_context const& state)
 {
     static std::vector<weights::announced_target> const none;
     auto const found = state.named.find(state.model);
@@ -114,13 +115,14 @@
                        : base::time_point();
     // Agents learn of a version at different times; it was named at one.
     auto const& targets = targets_of(state);
-    auto const named =
-        std::ranges::find(targets, version, &weights::announced_target::version);
+    auto const named = std::ranges::find(
+        targets, version, &weights::announced_target::version);
     if (named != targets.end())
     {
         start = named->named;
     }
-    return weights::plan_origin_fetches(state.fleet, state.origin_bounds, bytes, start);
+    return weights::plan_origin_fetches(
+        state.fleet, state.origin_bounds, bytes, start);
 }
 
 std::uint64_t next_version(agent_context const& state, base::time_point now)
@@ -137,7 +139,8 @@
         auto const& transfer = found->second.transfer;
         return transfer.digests.size() - transfer.held;
     };
-    return weights::choose_fallback_target(ask, weights::choose_target(ask), to_come, now);
+    return weights::choose_fallback_target(
+        ask, weights::choose_target(ask), to_come, now);
 }
 
 void note_whole(agent_context& state, base::time_point now)
@@ -184,8 +187,8 @@
     auto const missing = held.transfer.digests.size() - held.transfer.held;
     auto at = now + weights::chunk_interval * static_cast<int>(missing);
     auto const& targets = targets_of(state);
-    auto const named =
-        std::ranges::find(targets, version, &weights::announced_target::version);
+    auto const named = std::ranges::find(
+        targets, version, &weights::announced_target::version);
     if (named != targets.end() && state.arrival)
     {
         at = std::max(at, named->named + *state.arrival);
--- a/libs/gateway/src/call.cpp
+++ b/libs/gateway/src/call.cpp
@@ -174,7 +174,8 @@
     ask.entries = direct::sharers(this->context->entries);
     if (this->returned && this->service->engine)
     {
-        ask.depth = direct::depth_for_expired_goal(this->service->engine->slots);
+        ask.depth =
+            direct::depth_for_expired_goal(this->service->engine->slots);
     }
     ask.all_entries = &this->context->entry_addresses;
     ask.own_entry = this->context->settings.ip;
@@ -224,7 +225,8 @@
     }
     this->fail(
         direct::final_error(this->ran_so_far, false),
-        chosen.why == direct::no_endpoint_reason::none_listed ? "no endpoint is listed"
+        chosen.why == direct::no_endpoint_reason::none_listed
+            ? "no endpoint is listed"
         : chosen.why == direct::no_endpoint_reason::no_weights
             ? "no endpoint has the weights"
             : "all endpoints are busy");
@@ -338,7 +340,8 @@
         // still came do not.
         auto const silent = now - this->current->last_byte > direct::stall_time;
         this->end_attempt(
-            silent ? direct::request_outcome::faulty : direct::request_outcome::cancelled);
+            silent ? direct::request_outcome::faulty
+                   : direct::request_outcome::cancelled);
         this->after_failure(ran, "time is up");
         return;
     }
--- a/libs/gateway/src/call_attempt.cpp
+++ b/libs/gateway/src/call_attempt.cpp
@@ -293,7 +293,8 @@
 {
     auto const ended = std::move(*this->current);
     this->current.reset();
-    direct::note_request_ended(this->context->book, ended.endpoint, how, clock::now());
+    direct::note_request_ended(
+        this->context->book, ended.endpoint, how, clock::now());
     if (ended.connection->is_idle())
     {
         this->context->pool.give(ended.address, ended.connection);
--- a/libs/gateway/src/call_end.cpp
+++ b/libs/gateway/src/call_end.cpp
@@ -109,7 +109,8 @@
         this->context->tell_crash(this->print, now_running.endpoint, true);
     }
     this->end_attempt(
-        status >= 500 ? direct::request_outcome::faulty : direct::request_outcome::answered);
+        status >= 500 ? direct::request_outcome::faulty
+                      : direct::request_outcome::answered);
     this->finish();
 }
 
@@ -137,7 +138,8 @@
     auto const status = kind == error_kind::suspect_request
                             ? 503U
                             : static_cast<unsigned>(row.status);
-    auto const comes_back = promises_not_run(status) && row.ran == ran_state::no;
+    auto const comes_back =
+        promises_not_run(status) && row.ran == ran_state::no;
     auto const after = comes_back ? this->retry_after() : milliseconds(0);
     if (comes_back || status >= 500)
     {
--- a/libs/gateway/src/engine_switch.cpp
+++ b/libs/gateway/src/engine_switch.cpp
@@ -150,8 +150,8 @@
     {
         this->staged_whole = clock::now();
     }
-    if (clock::now() >=
-        weights::planned_switch_time(switch_ask_of(state, clock::now()), version))
+    if (clock::now() >= weights::planned_switch_time(
+                            switch_ask_of(state, clock::now()), version))
     {
         this->verify();
     }
--- a/libs/gateway/src/entry_context.cpp
+++ b/libs/gateway/src/entry_context.cpp
@@ -42,7 +42,8 @@
 void note_gone(entry_context& context, std::string const& endpoint)
 {
     auto const now = std::chrono::steady_clock::now();
-    for (auto const print : direct::take_lost_answers(context.book, endpoint, now))
+    for (auto const print :
+         direct::take_lost_answers(context.book, endpoint, now))
     {
         auto const marked =
             request::note_crash(context.suspects, print, endpoint, now);
--- a/libs/gateway/src/entry_views.cpp
+++ b/libs/gateway/src/entry_views.cpp
@@ -113,9 +113,9 @@
         }
         direct::note_failure(self->outage, began);
     };
-    handlers.on_return =
-        [self = this->shared_from_this(), kind](
-            platform::store_position const& before, platform::store_position const& now)
+    handlers.on_return = [self = this->shared_from_this(), kind](
+                             platform::store_position const& before,
+                             platform::store_position const& now)
     {
         self->note_store_restored(kind, before, now);
     };
--- a/libs/gateway/src/fleet_lists.cpp
+++ b/libs/gateway/src/fleet_lists.cpp
@@ -201,7 +201,8 @@
     for (auto const& object : objects)
     {
         auto const read = platform::read_endpoint(object.name, object.content);
-        if (read && direct::participates_in_transfer(*read, state.settings.engine_service))
+        if (read && direct::participates_in_transfer(
+                        *read, state.settings.engine_service))
         {
             auto const serves =
                 read->weights.whole && read->weights.model == state.model;
--- a/libs/gateway/src/kept_view.cpp
+++ b/libs/gateway/src/kept_view.cpp
@@ -211,7 +211,8 @@
     state.confirmed = std::max(state.confirmed.value_or(until), until);
 }
 
-view_page page_after(kept_view const& state, platform::store_position const& known)
+view_page
+page_after(kept_view const& state, platform::store_position const& known)
 {
     view_page page;
     page.whole = known.era != state.mark.era || known.revision == 0 ||
--- a/libs/gateway/src/peer_link.cpp
+++ b/libs/gateway/src/peer_link.cpp
@@ -276,8 +276,8 @@
     for (auto const& [id, state] : this->context->book.endpoints)
     {
         auto const address = net::parse_endpoint(state.listed.address);
-        if (!direct::participates_in_transfer(state.listed, asked.service()) || !address ||
-            !address->address().is_v4())
+        if (!direct::participates_in_transfer(state.listed, asked.service()) ||
+            !address || !address->address().is_v4())
         {
             continue;
         }
--- a/libs/gateway/src/version_fetch.cpp
+++ b/libs/gateway/src/version_fetch.cpp
@@ -269,7 +269,8 @@
     auto& state = *this->context;
     fetch(
         state.loop, state.pool, drawer.address,
-        peer_check_request(state.model, version), weights::liveness_check_timeout,
+        peer_check_request(state.model, version),
+        weights::liveness_check_timeout,
         [self = this->shared_from_this(), version,
          drawer](std::optional<fetched> response)
         {
@@ -287,7 +288,8 @@
         });
 }
 
-void version_fetch::ask(std::uint64_t version, weights::wanted_chunk const& wanted)
+void version_fetch::ask(
+    std::uint64_t version, weights::wanted_chunk const& wanted)
 {
     auto& state = *this->context;
     ready_chunk const asked{version, wanted};
@@ -331,7 +333,8 @@
         }
         auto const slow = found->second;
         this->fetches.erase(found);
-        weights::avoid_after_failure(this->context->sources, slow.wanted.source.agent, now);
+        weights::avoid_after_failure(
+            this->context->sources, slow.wanted.source.agent, now);
         weights::withdraw(
             this->context->versions[slow.version].transfer,
             this->context->sources, slow.wanted.index);
--- a/libs/gateway/src/view_relay.cpp
+++ b/libs/gateway/src/view_relay.cpp
@@ -98,7 +98,8 @@
 }
 
 // A page's path: the kind, the era and the revision that the asker knows.
-std::string page_target(std::uint32_t kind, platform::store_position const& known)
+std::string
+page_target(std::uint32_t kind, platform::store_position const& known)
 {
     return std::string(page_root) + std::to_string(kind) + "/" +
            std::to_string(known.era) + "/" + std::to_string(known.revision);
@@ -578,7 +579,8 @@
     }
 }
 
-void view_relay::note_views_confirmed(std::uint32_t kind, base::boot_time asked_at)
+void view_relay::note_views_confirmed(
+    std::uint32_t kind, base::boot_time asked_at)
 {
     this->followed[kind] = asked_at;
     auto least = asked_at;
@@ -657,8 +659,8 @@
     }
 }
 
-std::string
-view_relay::page_text(view_feed const& feed, platform::store_position const& after)
+std::string view_relay::page_text(
+    view_feed const& feed, platform::store_position const& after)
 {
     auto const now = base::boot_now();
     auto& kept = this->pages[static_cast<std::uint32_t>(feed.kind())];
--- a/libs/gateway/src/weights_door.cpp
+++ b/libs/gateway/src/weights_door.cpp
@@ -180,7 +180,9 @@
     if (path->kind == asked_kind::check)
     {
         session->respond(
-            this->participates_in_transfer(path->version) ? 200 : weights_missing, {}, {});
+            this->participates_in_transfer(path->version) ? 200
+                                                          : weights_missing,
+            {}, {});
         return;
     }
     if (path->kind == asked_kind::chunk)
--- a/libs/gateway/tests/switch_sight_tests.cpp
+++ b/libs/gateway/tests/switch_sight_tests.cpp
@@ -17,8 +17,9 @@
 base::time_point const start{std::chrono::hours(1)};
 constexpr milliseconds bound{8000};
 
-weights::switch_context
-ask_of(std::uint64_t serving, std::vector<weights::announced_target> const& targets)
+weights::switch_context ask_of(
+    std::uint64_t serving,
+    std::vector<weights::announced_target> const& targets)
 {
     weights::switch_context ask;
     ask.serving = serving;
--- a/libs/gateway/tests/view_feed_tests.cpp
+++ b/libs/gateway/tests/view_feed_tests.cpp
@@ -109,7 +109,9 @@
                 },
                 [](base::boot_time) {}, [](bool, std::string const&) {},
                 [](bool, base::boot_time) {},
-                [this](platform::store_position const&, platform::store_position const&)
+                [this](
+                    platform::store_position const&,
+                    platform::store_position const&)
                 {
                     ++this->returns;
                 }},
--- a/libs/weights/include/weights/chunk_transfer.hpp
+++ b/libs/weights/include/weights/chunk_transfer.hpp
@@ -148,7 +148,8 @@
 inline constexpr std::chrono::milliseconds liveness_check_timeout{250};
 
 // The drawer answered or did not. If not, the next in turn draws its chunks.
-void note_liveness_check(chunk_transfer& state, std::string const& drawer, bool lives);
+void note_liveness_check(
+    chunk_transfer& state, std::string const& drawer, bool lives);
 
 // Chunks to ask for now, each noted as pending.
 std::vector<wanted_chunk> next_chunk_requests(
--- a/libs/weights/include/weights/origin_schedule.hpp
+++ b/libs/weights/include/weights/origin_schedule.hpp
@@ -63,7 +63,8 @@
     base::time_point start);
 
 // The agent that draws the chunk first; empty in an empty fleet.
-std::string origin_fetcher_of(origin_fetch_schedule const& schedule, std::uint32_t chunk);
+std::string
+origin_fetcher_of(origin_fetch_schedule const& schedule, std::uint32_t chunk);
 
 // How many others draw the chunk before this agent does; zero for its drawer.
 // Nothing for an agent that the schedule does not know.
@@ -85,7 +86,9 @@
 
 // Agents whose turn comes before this one's, the drawer first.
 std::vector<std::string> earlier_fetchers(
-    origin_fetch_schedule const& schedule, std::size_t turn, std::uint32_t chunk);
+    origin_fetch_schedule const& schedule,
+    std::size_t turn,
+    std::uint32_t chunk);
 
 // Whether the agent may ask the origin for the version's manifest by now: the
 // first of each failure domain at once, the other fetchers half a second later,
@@ -101,8 +104,8 @@
 // row: four times what it takes when all fetchers draw at once, and twice as
 // much after each failure. Failure: the origin loses power and answers nothing;
 // a draw that waits for it goes on waiting after it is back.
-std::chrono::milliseconds
-origin_fetch_timeout(origin_fetch_schedule const& schedule, std::uint32_t failures);
+std::chrono::milliseconds origin_fetch_timeout(
+    origin_fetch_schedule const& schedule, std::uint32_t failures);
 
 } // namespace foxtailvale::weights
 
--- a/libs/weights/include/weights/receive_window.hpp
+++ b/libs/weights/include/weights/receive_window.hpp
@@ -49,13 +49,14 @@
 bool may_fetch(receive_window const& line, base::time_point now);
 
 // Begins a fetch from this agent; the number names it.
-std::uint64_t
-begin_fetch(receive_window& line, std::string const& agent, base::time_point now);
+std::uint64_t begin_fetch(
+    receive_window& line, std::string const& agent, base::time_point now);
 
 // Ends the fetch. When it was slow and nothing comes fast from others, the own
 // link is squeezed: as much time passes before the next one, so that requests
 // to the engine have half of the link.
-void end_fetch(receive_window& line, std::uint64_t number, base::time_point now);
+void end_fetch(
+    receive_window& line, std::uint64_t number, base::time_point now);
 
 // Fetches that take long while chunks come fast from others: the source's link
 // is squeezed, and the same chunk comes sooner from elsewhere.
--- a/libs/weights/include/weights/source_table.hpp
+++ b/libs/weights/include/weights/source_table.hpp
@@ -78,7 +78,8 @@
     source_table& book, std::string const& agent, base::time_point now);
 
 // The source failed: avoided for a time that doubles with each failure.
-void avoid_after_failure(source_table& book, std::string const& agent, base::time_point now);
+void avoid_after_failure(
+    source_table& book, std::string const& agent, base::time_point now);
 
 // The source failed and is asked again soon: avoided for a fraction of a second
 // that doubles up to one and a half. Made for a fleet whose versions must be in
--- a/libs/weights/include/weights/switch_time.hpp
+++ b/libs/weights/include/weights/switch_time.hpp
@@ -71,7 +71,8 @@
 // that serves nothing does so at once. What runs there ends first: whatever is
 // cut to go on elsewhere has its prompt read again, where there is no room to
 // spare.
-base::time_point planned_switch_time(switch_context const& ask, std::uint64_t target);
+base::time_point
+planned_switch_time(switch_context const& ask, std::uint64_t target);
 
 } // namespace foxtailvale::weights
 
--- a/libs/weights/src/chunk_transfer.cpp
+++ b/libs/weights/src/chunk_transfer.cpp
@@ -74,8 +74,8 @@
 // All other agents of the plans, for when those in the trees cannot be used:
 // any of them may hold the chunk. The order differs by agent and chunk, so that
 // not all ask the same one.
-std::vector<chunk_source>
-others(plan_set const& plans, transfer_requester const& place, std::uint32_t index)
+std::vector<chunk_source> others(
+    plan_set const& plans, transfer_requester const& place, std::uint32_t index)
 {
     std::vector<chunk_source> found;
     for (auto const& [domain, plan] : plans)
@@ -265,9 +265,10 @@
     auto const turn = turn_of(look.schedule, look.place.agent, index);
     auto const stands_alone =
         turn && *turn <= most_checking && all_gone(look, index, *turn);
-    auto const due = stands_alone ? origin_fetch_time(look.schedule, 0, index, begun)
-                     : turn       ? origin_fetch_time(look.schedule, *turn, index, begun)
-                                  : begun + alone_time;
+    auto const due =
+        stands_alone ? origin_fetch_time(look.schedule, 0, index, begun)
+        : turn       ? origin_fetch_time(look.schedule, *turn, index, begun)
+                     : begun + alone_time;
     if (look.now < due || !is_usable(look.book, {}, look.now))
     {
         return std::nullopt;
@@ -287,7 +288,8 @@
     std::vector<chunk_source> found;
     for (std::size_t turn = 1; turn < fetchers.size(); ++turn)
     {
-        auto const due = origin_fetch_time(look.schedule, turn, index, look.state.begun);
+        auto const due =
+            origin_fetch_time(look.schedule, turn, index, look.state.begun);
         if (look.now < due)
         {
             break;
@@ -501,7 +503,8 @@
     return checks;
 }
 
-void note_liveness_check(chunk_transfer& state, std::string const& drawer, bool lives)
+void note_liveness_check(
+    chunk_transfer& state, std::string const& drawer, bool lives)
 {
     auto& check = state.checks[drawer];
     check.is_pending = false;
--- a/libs/weights/src/origin_schedule.cpp
+++ b/libs/weights/src/origin_schedule.cpp
@@ -33,7 +33,8 @@
 constexpr milliseconds longest_limit{4000};
 constexpr std::uint32_t most_doublings = 3;
 
-std::size_t place_of(origin_fetch_schedule const& schedule, std::string const& agent)
+std::size_t
+place_of(origin_fetch_schedule const& schedule, std::string const& agent)
 {
     auto const found = std::ranges::find(schedule.order, agent);
     return static_cast<std::size_t>(found - schedule.order.begin());
@@ -83,7 +84,8 @@
     return schedule;
 }
 
-std::string origin_fetcher_of(origin_fetch_schedule const& schedule, std::uint32_t chunk)
+std::string
+origin_fetcher_of(origin_fetch_schedule const& schedule, std::uint32_t chunk)
 {
     return schedule.order.empty() ? std::string()
                                   : schedule.order[chunk % schedule.fetchers];
@@ -120,7 +122,9 @@
 }
 
 std::vector<std::string> earlier_fetchers(
-    origin_fetch_schedule const& schedule, std::size_t turn, std::uint32_t chunk)
+    origin_fetch_schedule const& schedule,
+    std::size_t turn,
+    std::uint32_t chunk)
 {
     std::vector<std::string> found;
     auto const count = std::min(turn, schedule.fetchers);
@@ -146,8 +150,8 @@
     return now >= begun + manifest_turn_time * group;
 }
 
-std::chrono::milliseconds
-origin_fetch_timeout(origin_fetch_schedule const& schedule, std::uint32_t failures)
+std::chrono::milliseconds origin_fetch_timeout(
+    origin_fetch_schedule const& schedule, std::uint32_t failures)
 {
     auto const all_at_once = std::chrono::duration_cast<milliseconds>(
         schedule.interval * static_cast<int>(schedule.fetchers));
--- a/libs/weights/src/receive_line.cpp
+++ b/libs/weights/src/receive_line.cpp
@@ -79,8 +79,8 @@
     return filling < most_fetching || !is_trying;
 }
 
-std::uint64_t
-begin_fetch(receive_window& line, std::string const& agent, base::time_point now)
+std::uint64_t begin_fetch(
+    receive_window& line, std::string const& agent, base::time_point now)
 {
     auto const number = ++line.next_number;
     line.running[number] = {agent, now};
--- a/libs/weights/src/source_book.cpp
+++ b/libs/weights/src/source_book.cpp
@@ -119,7 +119,8 @@
     return now - record.unreachable_since > connect_limit;
 }
 
-void avoid_after_failure(source_table& book, std::string const& agent, base::time_point now)
+void avoid_after_failure(
+    source_table& book, std::string const& agent, base::time_point now)
 {
     auto& record = book.sources[agent];
     auto const doublings = std::min(record.strikes, most_doublings);
@@ -128,7 +129,8 @@
     record.unreachable = false;
 }
 
-void avoid_briefly(source_table& book, std::string const& agent, base::time_point now)
+void avoid_briefly(
+    source_table& book, std::string const& agent, base::time_point now)
 {
     auto& record = book.sources[agent];
     if (record.avoid_until > now)
--- a/libs/weights/src/switch_time.cpp
+++ b/libs/weights/src/switch_time.cpp
@@ -74,8 +74,8 @@
 }
 
 // When the newer version must be there for an engine to skip the unmet one.
-base::time_point
-skips_until(bool early, switch_context const& ask, announced_target const& unmet)
+base::time_point skips_until(
+    bool early, switch_context const& ask, announced_target const& unmet)
 {
     return early ? unmet.named + part_of(ask.bound, early_patience)
                  : unmet.named + part_of(ask.bound, last_use) + switch_cost;
@@ -150,7 +150,8 @@
     return best;
 }
 
-base::time_point planned_switch_time(switch_context const& ask, std::uint64_t target)
+base::time_point
+planned_switch_time(switch_context const& ask, std::uint64_t target)
 {
     auto const found =
         std::ranges::find(ask.targets, target, &announced_target::version);
--- a/libs/weights/tests/burst_world.cpp
+++ b/libs/weights/tests/burst_world.cpp
@@ -156,8 +156,8 @@
         state.by_name[made.name] = number;
         state.agents.push_back(std::move(made));
     }
-    state.schedule =
-        plan_origin_fetches(state.fleet, {origin_rate, accepted}, chunk_bytes, named);
+    state.schedule = plan_origin_fetches(
+        state.fleet, {origin_rate, accepted}, chunk_bytes, named);
     if (course.all_draw)
     {
         state.schedule.fetchers = state.schedule.order.size();
@@ -189,7 +189,8 @@
     state.connections[number] = state.now;
     state.outcome.most_connections =
         std::max(state.outcome.most_connections, state.connections.size());
-    auto const limit = origin_fetch_timeout(state.schedule, failures_of(own.book, {}));
+    auto const limit =
+        origin_fetch_timeout(state.schedule, failures_of(own.book, {}));
     state.draws.push_back({number, index, chunk_bytes, state.now + limit});
 }
 
@@ -207,7 +208,8 @@
             own.begun = true;
             begin(own.transfer, state.digests, state.now);
         }
-        transfer_requester const place{own.domain, own.name, "m@2", state.holders};
+        transfer_requester const place{
+            own.domain, own.name, "m@2", state.holders};
         auto const asks = next_chunk_requests(
             own.transfer, own.book, state.fleet, place, state.schedule, {},
             state.now);
@@ -244,7 +246,8 @@
         auto const asked = state.by_name.at(drawer.agent);
         auto const lives = !is_dead(state, asked) && state.agents[asked].begun;
         own.checks.push_back(
-            {asked, state.now + (lives ? answer_at_once : liveness_check_timeout)});
+            {asked,
+             state.now + (lives ? answer_at_once : liveness_check_timeout)});
     }
     for (auto const& check : own.checks)
     {
@@ -313,7 +316,8 @@
     auto& own = state.agents[number];
     for (auto const slow : squeezed_fetches(own.receiving, state.now))
     {
-        avoid_after_failure(own.book, own.receiving.running.at(slow).agent, state.now);
+        avoid_after_failure(
+            own.book, own.receiving.running.at(slow).agent, state.now);
         if (auto const found = own.fetches.find(slow);
             found != own.fetches.end() && !found->second.withdrawn)
         {
@@ -456,7 +460,8 @@
 {
     for (std::size_t number = 0; number < state.agents.size(); ++number)
     {
-        if (!is_dead(state, number) && !is_complete(state.agents[number].transfer))
+        if (!is_dead(state, number) &&
+            !is_complete(state.agents[number].transfer))
         {
             return false;
         }
--- a/libs/weights/tests/chunk_transfer_tests.cpp
+++ b/libs/weights/tests/chunk_transfer_tests.cpp
@@ -202,8 +202,8 @@
     for (auto now = start; !is_complete(state) && now < start + seconds(5);
          now += milliseconds(20))
     {
-        for (auto const& wanted :
-             next_chunk_requests(state, book, fleet(), place, schedule(), {}, now))
+        for (auto const& wanted : next_chunk_requests(
+                 state, book, fleet(), place, schedule(), {}, now))
         {
             ++asked[wanted.source.agent];
             deliver(state, book, wanted.index, bytes_of(wanted.index), now);
@@ -228,8 +228,8 @@
     for (; !is_complete(state) && now < start + seconds(60);
          now += milliseconds(50))
     {
-        for (auto const& wanted :
-             next_chunk_requests(state, book, fleet(), place, schedule(), {}, now))
+        for (auto const& wanted : next_chunk_requests(
+                 state, book, fleet(), place, schedule(), {}, now))
         {
             auto const& source = wanted.source.agent;
             if (source == "c3")
@@ -259,8 +259,8 @@
     for (; !is_complete(state) && now < start + seconds(60);
          now += milliseconds(50))
     {
-        for (auto const& wanted :
-             next_chunk_requests(state, book, {}, alone, schedule_alone({}), {}, now))
+        for (auto const& wanted : next_chunk_requests(
+                 state, book, {}, alone, schedule_alone({}), {}, now))
         {
             if (now < back)
             {
@@ -338,10 +338,14 @@
     auto const paced = schedule_alone(std::chrono::microseconds(25000));
     transfer_requester const alone{"z", "z0", "m@2"};
     EXPECT_EQ(
-        next_chunk_requests(state, book, {}, alone, paced, limits, start).size(), 1U);
+        next_chunk_requests(state, book, {}, alone, paced, limits, start)
+            .size(),
+        1U);
     auto const later = start + milliseconds(250);
     EXPECT_EQ(
-        next_chunk_requests(state, book, {}, alone, paced, limits, later).size(), 10U);
+        next_chunk_requests(state, book, {}, alone, paced, limits, later)
+            .size(),
+        10U);
 }
 
 namespace
@@ -416,7 +420,8 @@
     standing_in agent;
     agent.checks(start + may_check);
     note_liveness_check(agent.transfer, agent.drawer, true);
-    EXPECT_FALSE(agent.draws_first_chunk(start + may_check + liveness_check_timeout));
+    EXPECT_FALSE(
+        agent.draws_first_chunk(start + may_check + liveness_check_timeout));
 }
 
 // Guards against fetchers that ask each other for their own chunks while the
@@ -436,7 +441,8 @@
     EXPECT_EQ(asks.size(), transfer_limits{}.total);
     for (auto const& wanted : asks)
     {
-        EXPECT_NE(origin_fetcher_of(draws, wanted.index), agent) << wanted.index;
+        EXPECT_NE(origin_fetcher_of(draws, wanted.index), agent)
+            << wanted.index;
     }
 }
 
--- a/libs/weights/tests/origin_pace_tests.cpp
+++ b/libs/weights/tests/origin_pace_tests.cpp
@@ -43,8 +43,10 @@
 {
     auto const pace = narrow_pace();
     EXPECT_TRUE(may_fetch_from_origin(pace, turn_of(0, 0), start));
-    EXPECT_FALSE(may_fetch_from_origin(pace, turn_of(5, 2), start + milliseconds(499)));
-    EXPECT_TRUE(may_fetch_from_origin(pace, turn_of(5, 2), start + milliseconds(500)));
+    EXPECT_FALSE(
+        may_fetch_from_origin(pace, turn_of(5, 2), start + milliseconds(499)));
+    EXPECT_TRUE(
+        may_fetch_from_origin(pace, turn_of(5, 2), start + milliseconds(500)));
 }
 
 TEST(origin_pace, transfers_share_the_link)
@@ -87,21 +89,26 @@
         origin_pace pace;
         base::random_state random{seed};
         note_origin_fetch_started(pace);
-        note_origin_fetch_ended(pace, origin_fetch_outcome::failed, random, start);
+        note_origin_fetch_ended(
+            pace, origin_fetch_outcome::failed, random, start);
         auto const pause = pace.not_before - start;
         EXPECT_GE(pause, milliseconds(250));
         EXPECT_LT(pause, milliseconds(500));
         first.insert(pace.not_before);
-        EXPECT_FALSE(may_fetch_from_origin(pace, turn_of(0, 0), start + milliseconds(249)));
-        note_origin_fetch_ended(pace, origin_fetch_outcome::failed, random, start);
+        EXPECT_FALSE(may_fetch_from_origin(
+            pace, turn_of(0, 0), start + milliseconds(249)));
+        note_origin_fetch_ended(
+            pace, origin_fetch_outcome::failed, random, start);
         EXPECT_GE(pace.not_before - start, milliseconds(500));
         for (int more = 0; more < 20; ++more)
         {
-            note_origin_fetch_ended(pace, origin_fetch_outcome::failed, random, start);
+            note_origin_fetch_ended(
+                pace, origin_fetch_outcome::failed, random, start);
         }
         EXPECT_LE(pace.not_before - start, seconds(32));
         EXPECT_GE(pace.not_before - start, seconds(16));
-        note_origin_fetch_ended(pace, origin_fetch_outcome::refused, random, start);
+        note_origin_fetch_ended(
+            pace, origin_fetch_outcome::refused, random, start);
         EXPECT_LE(pace.not_before - start, seconds(2));
     }
     EXPECT_GT(first.size(), 30U);
@@ -116,11 +123,13 @@
     note_origin_fetch_started(pace);
     EXPECT_FALSE(may_fetch_from_origin(pace, turn_of(0, 0), start));
     note_origin_fetch_ended(pace, origin_fetch_outcome::failed, random, start);
-    EXPECT_FALSE(may_fetch_from_origin(pace, turn_of(0, 0), start + seconds(1)));
+    EXPECT_FALSE(
+        may_fetch_from_origin(pace, turn_of(0, 0), start + seconds(1)));
     note_origin_fetch_ended(pace, origin_fetch_outcome::failed, random, start);
     EXPECT_TRUE(may_fetch_from_origin(pace, turn_of(0, 0), start + seconds(2)));
     EXPECT_TRUE(suspects_origin(pace, start + seconds(2)));
-    note_origin_fetch_ended(pace, origin_fetch_outcome::good, random, start + seconds(2));
+    note_origin_fetch_ended(
+        pace, origin_fetch_outcome::good, random, start + seconds(2));
     EXPECT_FALSE(suspects_origin(pace, start + seconds(2)));
 }
 
--- a/libs/weights/tests/origin_schedule_tests.cpp
+++ b/libs/weights/tests/origin_schedule_tests.cpp
@@ -85,7 +85,8 @@
             ASSERT_TRUE(turn);
             ++turns[*turn];
             auto const slot = start + chunk * schedule.interval;
-            if (origin_fetch_time(schedule, *turn, chunk, start) <= slot + seconds(6))
+            if (origin_fetch_time(schedule, *turn, chunk, start) <=
+                slot + seconds(6))
             {
                 within.insert(agent);
             }
@@ -133,7 +134,9 @@
     auto const schedule = schedule_of(88);
     EXPECT_LE(origin_fetch_timeout(schedule, 0), milliseconds(1300));
     EXPECT_GE(origin_fetch_timeout(schedule, 0), milliseconds(800));
-    EXPECT_EQ(origin_fetch_timeout(schedule, 1), 2 * origin_fetch_timeout(schedule, 0));
+    EXPECT_EQ(
+        origin_fetch_timeout(schedule, 1),
+        2 * origin_fetch_timeout(schedule, 0));
     EXPECT_LE(origin_fetch_timeout(schedule, 9), milliseconds(4000));
 }
 
--- a/libs/weights/tests/switch_time_tests.cpp
+++ b/libs/weights/tests/switch_time_tests.cpp
@@ -182,7 +182,8 @@
 // that skips the first is idle for two seconds, which costs more than a switch.
 TEST(switch_time, a_version_is_not_skipped_when_the_next_one_comes_too_late)
 {
-    std::vector<announced_target> const named{{2, start}, {3, start + seconds(4)}};
+    std::vector<announced_target> const named{
+        {2, start}, {3, start + seconds(4)}};
     auto const now = start + milliseconds(4100);
     for (std::size_t rank = 0; rank < 14; ++rank)
     {
@@ -223,22 +224,26 @@
 // they serve, although the first version lies whole beside them.
 TEST(switch_time, a_whole_version_between_is_used_when_the_newest_does_not_come)
 {
-    std::vector<announced_target> const named{{2, start}, {3, start + seconds(2)}};
+    std::vector<announced_target> const named{
+        {2, start}, {3, start + seconds(2)}};
     switch_context const ask{1, named, bound, 0, 14, arrival, {}};
     ASSERT_EQ(choose_target(ask), 3U);
     auto const only_second = [](std::uint64_t version) -> std::size_t
     {
         return version == 2 ? 0 : 64;
     };
-    EXPECT_EQ(choose_fallback_target(ask, 3, only_second, start + seconds(4)), 3U);
-    EXPECT_EQ(choose_fallback_target(ask, 3, only_second, start + seconds(6)), 2U);
+    EXPECT_EQ(
+        choose_fallback_target(ask, 3, only_second, start + seconds(4)), 3U);
+    EXPECT_EQ(
+        choose_fallback_target(ask, 3, only_second, start + seconds(6)), 2U);
     auto const nearly = [](std::uint64_t version) -> std::size_t
     {
         return version == 2 ? 0 : 5;
     };
     EXPECT_EQ(choose_fallback_target(ask, 3, nearly, start + seconds(7)), 3U);
     // A switch that comes a moment too late is better than two.
-    EXPECT_EQ(choose_fallback_target(ask, 3, nearly, start + milliseconds(7900)), 3U);
+    EXPECT_EQ(
+        choose_fallback_target(ask, 3, nearly, start + milliseconds(7900)), 3U);
     auto const none = [](std::uint64_t) -> std::size_t
     {
         return 64;
@@ -257,8 +262,8 @@
         std::vector<base::time_point> turns;
         for (std::size_t rank = 0; rank < count; ++rank)
         {
-            turns.push_back(
-                planned_switch_time({1, named, bound, rank, count, arrival, {}}, 2));
+            turns.push_back(planned_switch_time(
+                {1, named, bound, rank, count, arrival, {}}, 2));
         }
         auto const [first, last] = std::ranges::minmax(turns);
         EXPECT_GE(last - first, lost) << count;
--- a/tools/scenario/src/scenario_run.cpp
+++ b/tools/scenario/src/scenario_run.cpp
@@ -360,8 +360,7 @@
         auto const code = this->running.end(name, SIGTERM);
         this->seen.stops.push_back(
             {name, this->entry_address(name), asked, wall_now(), code});
-        this->seen.endpoints_leaving.push_back(
-            {name, asked, asked + max_wait});
+        this->seen.endpoints_leaving.push_back({name, asked, asked + max_wait});
         this->down.insert(name);
         this->note_down(name, milliseconds(0));
     }
