--- a/libs/entry_core/include/entry_core/events.hpp
+++ b/libs/entry_core/include/entry_core/events.hpp
@@ -15,16 +15,16 @@
 namespace foxtailvale::entry_core
 {
 
-// Names one caller's connection within this entry.
+// Identifies a caller's connection within this entry.
 using caller_handle = std::uint64_t;
 
-// A caller's request, read whole.
+// A caller's request with its complete body.
 struct caller_request
 {
     caller_handle caller = 0;
     std::string request_id;
     std::string workspace;
-    // Exactly one of the two is set.
+    // Exactly one of model and service is set.
     std::string model;
     std::string service;
     std::string method;
@@ -33,22 +33,23 @@
     std::string content_type;
     std::string body;
     bool stream = false;
-    // Whether it may be run twice without harm; set by the core.
+    // Whether the request may run more than once without harm; set by the core.
     bool idempotent = false;
     std::string idempotency_key;
     std::uint32_t priority = 0;
-    // Hash of the prompt's beginning; zero when there is none.
+    // Hash of the prompt's prefix; zero when there is none.
     std::uint64_t prefix = 0;
+    // Time until the deadline.
     std::chrono::milliseconds time_left{0};
 };
 
-// The caller hung up.
+// The caller closed its connection.
 struct caller_disconnected
 {
     caller_handle caller = 0;
 };
 
-// An operator lets a suspect request run again.
+// An operator allows a suspect request to run again.
 struct release_suspect
 {
     std::uint64_t fingerprint = 0;
@@ -64,11 +65,12 @@
     caller_disconnected,
     release_suspect>;
 
-// A piece of the answer for a caller, or its end.
+// A piece of the answer to a caller.
 struct reply
 {
     caller_handle caller = 0;
-    // Status, content type, generation and digest come with the first piece.
+    // Status, content type, generation and digest are set in the first piece
+    // only.
     std::uint32_t status = 0;
     std::string content_type;
     std::string body;
@@ -77,8 +79,8 @@
     std::string digest;
 };
 
-// The request ended with an error. Before the first piece it becomes the
-// whole answer, after it the stream's error event.
+// The request ended with an error. It becomes the complete answer if no piece
+// was sent before, otherwise the stream's error event.
 struct refuse
 {
     caller_handle caller = 0;
--- a/libs/entry_core/src/attempt_flow.cpp
+++ b/libs/entry_core/src/attempt_flow.cpp
@@ -6,8 +6,8 @@
 
 #include <algorithm>
 
-// Attempts to run a request on one endpoint: placing, sending, relaying,
-// failing.
+// Attempts to run a request on one endpoint: placement, sending, relaying the
+// answer, and handling failures.
 namespace foxtailvale::entry_core
 {
 
@@ -16,15 +16,16 @@
 
 using std::chrono::milliseconds;
 
-// A request may fail on this many endpoints: with more, one that breaks its
-// endpoints would go round them all.
-constexpr std::uint32_t most_failures = 3;
+// A request may fail on this many endpoints. With more, a request that breaks
+// its endpoints could break all of them.
+constexpr std::uint32_t max_failures = 3;
 
-// Lost endpoints that one request may leave behind: with two, it may be the
-// cause.
-constexpr std::uint32_t most_losses = 2;
+// A request is not retried after it has lost this many endpoints: after two, it
+// may be the cause.
+constexpr std::uint32_t max_endpoint_losses = 2;
 
-// A gate answers a reservation at once; silence means that it is not there.
+// A gate answers a reservation at once. Without an answer within this time, the
+// gate is unreachable.
 constexpr milliseconds reserve_timeout{500};
 
 constexpr std::string_view stream_type = "text/event-stream";
@@ -44,7 +45,8 @@
            found->second.state == control::liveness::alive;
 }
 
-// Whether a release that may still be in use names this digest.
+// Whether a release that may still be in use, the current or the preceding one,
+// names this digest.
 bool is_released(
     state const& state, std::string const& model, std::string const& digest)
 {
@@ -60,9 +62,10 @@
 }
 
 // Failure: a release names a new version, and until the first endpoint has
-// loaded it every caller is told that there is no endpoint, although all serve
-// the version before. So either version will do until the request is placed;
-// then it stays with the one chosen, and no answer mixes two.
+// loaded it every caller is refused for lack of an endpoint, although all
+// endpoints serve the preceding version. So either version is accepted until
+// the request is placed. From then on the request is pinned to the chosen
+// version, so that no answer mixes two.
 bool serves(
     state const& state, endpoint_view const& view, open_request const& open)
 {
@@ -120,9 +123,9 @@
     target.set_generation(open.generation);
 }
 
-// Failure: a frame with a booking waits in a dead connection and arrives when
-// its caller was already told "not run". The body of a call that may not run
-// twice leaves only for a slot that was granted, with that slot's token.
+// Failure: a frame with a booking is held up in a dead connection and arrives
+// after its caller was told that it was not run. So the body of a call that
+// must not run twice is sent only for a granted slot, with that slot's token.
 void send_reserve(open_request& open, base::time_point now, actions& out)
 {
     core::send_message message{open.agent, {}};
@@ -131,7 +134,7 @@
     set_target(open, *reserve->mutable_target());
     reserve->set_time_left_ms(time_left(open, now));
     open.stage = request_stage::reserving;
-    open.stage_end = now + reserve_timeout;
+    open.stage_deadline = now + reserve_timeout;
     out.push_back(std::move(message));
 }
 
@@ -152,7 +155,7 @@
            kind == base::error_kind::endpoint_cold;
 }
 
-// What the caller is told of the attempt's failure.
+// The error that the caller gets for the attempt's failure.
 base::error final_error(open_request const& open, base::error error)
 {
     auto const ran = base::row_of(error.kind).ran;
@@ -178,16 +181,18 @@
     {
         return true;
     }
-    // Failure: a booking runs twice because its first answer was lost. Only
-    // what certainly was not run is sent again, and a call without a key not
-    // even then: its body leaves once.
+    // Failure: a booking runs twice because its first answer was lost. So only
+    // attempts that certainly were not run are repeated. A call without a key
+    // is not repeated even then once its body was sent, unless the body could
+    // not be handed to the peer.
     auto const not_run = base::row_of(error.kind).ran == base::ran_state::no;
     auto const body_left = open.stage == request_stage::running;
     return not_run && (open.claim || !body_left ||
                        error.kind == base::error_kind::peer_unreachable);
 }
 
-// Goes on elsewhere; false when there is nowhere to go.
+// Continues the request on another endpoint or in the queue; false when neither
+// is possible.
 bool retry(
     state& state,
     open_request& open,
@@ -195,29 +200,31 @@
     base::time_point now,
     actions& out)
 {
-    auto const may_move = open.relayed == 0;
-    if (may_move)
+    auto const may_change_version = open.relayed_pieces == 0;
+    if (may_change_version)
     {
-        // The caller has nothing of that version: any released one will do.
+        // The caller has received nothing of that version, so any released
+        // version may answer.
         open.digest.clear();
     }
     if (is_full(error.kind))
     {
         out.push_back(core::count_retry{error.kind});
-        if (!may_move)
+        if (!may_change_version)
         {
             return wait_to_resume(state, open);
         }
-        readmit(state, open, now, out);
+        requeue(state, open, now, out);
         return true;
     }
-    open.losses += error.kind == base::error_kind::endpoint_lost ? 1 : 0;
-    if (open.losses >= most_losses ||
+    open.endpoint_losses +=
+        error.kind == base::error_kind::endpoint_lost ? 1 : 0;
+    if (open.endpoint_losses >= max_endpoint_losses ||
         request::is_suspect(state.requests.suspects, open.fingerprint))
     {
         return false;
     }
-    if (++open.failures >= most_failures ||
+    if (++open.failures >= max_failures ||
         !request::spend(state.requests.retries))
     {
         return false;
@@ -227,11 +234,11 @@
     {
         return true;
     }
-    if (!may_move)
+    if (!may_change_version)
     {
         return wait_to_resume(state, open);
     }
-    readmit(state, open, now, out);
+    requeue(state, open, now, out);
     return true;
 }
 
@@ -265,17 +272,18 @@
     piece.caller = open.request.caller;
     piece.body = output.body();
     piece.last = output.last();
-    if (open.relayed == 0)
+    if (open.relayed_pieces == 0)
     {
-        // The head; the pieces of 500 streams wait in memory, and carried by
-        // each it would be the larger half of them.
+        // Only the first piece carries the head of the answer. The pieces of
+        // 500 streams wait in memory, and a head in each piece would be more
+        // than half of their size.
         piece.status = output.status();
         piece.content_type = output.content_type();
         piece.generation = open.generation;
         piece.digest = output.digest();
     }
-    ++open.relayed;
-    auto const told = open.detached;
+    ++open.relayed_pieces;
+    auto const was_detached = open.detached;
     if (output.last())
     {
         request::note_answered(state.requests.suspects, open.fingerprint);
@@ -287,24 +295,25 @@
         {
             store_answer(state, open, output, now, out);
         }
-        close(state, open.request.caller, now, out);
+        close_request(state, open.request.caller, now, out);
     }
-    if (!told)
+    if (!was_detached)
     {
         out.push_back(std::move(piece));
     }
 }
 
-// Why a piece cannot follow what the caller has, if so.
+// The error if a piece does not continue what the caller has received.
 std::optional<base::error>
-misfit(open_request const& open, wire::RunOutput const& output)
+continuity_error(open_request const& open, wire::RunOutput const& output)
 {
     if (output.sequence() != open.next_sequence)
     {
         return base::error{
             base::error_kind::endpoint_lost, "a piece is missing"};
     }
-    if (open.relayed > 0 && !output.content_type().starts_with(stream_type))
+    if (open.relayed_pieces > 0 &&
+        !output.content_type().starts_with(stream_type))
     {
         return base::error{
             base::error_kind::endpoint_failed, "the stream did not resume"};
@@ -314,13 +323,13 @@
 
 } // namespace
 
-bool is_served(state const& state, open_request const& open)
+bool is_servable(state const& state, open_request const& open)
 {
     return std::ranges::any_of(
         state.control.endpoints,
-        [&](auto const& entry)
+        [&](auto const& item)
         {
-            return can_serve(state, entry.first, entry.second, open);
+            return can_serve(state, item.first, item.second, open);
         });
 }
 
@@ -341,9 +350,9 @@
     run->set_fingerprint(open.fingerprint);
     run->set_time_left_ms(time_left(open, now));
     run->set_token(open.token);
-    run->set_resume_from(open.relayed);
+    run->set_resume_from(open.relayed_pieces);
     open.stage = request_stage::running;
-    open.stage_end.reset();
+    open.stage_deadline.reset();
     open.attempt_start = now;
     out.push_back(std::move(message));
     static_cast<void>(state);
@@ -358,7 +367,7 @@
          .prefix = open.request.prefix,
          .tried = open.tried,
          .emptiest =
-             open.losses > 0 ||
+             open.endpoint_losses > 0 ||
              request::has_crashed(state.requests.suspects, open.fingerprint)},
         state.random);
     if (chosen == nullptr)
@@ -396,7 +405,7 @@
     actions& out)
 {
     state.requests.attempts.erase(open.attempt);
-    open.stage_end.reset();
+    open.stage_deadline.reset();
     auto final = final_error(open, std::move(error));
     if (may_retry(open, final))
     {
@@ -404,7 +413,7 @@
         if (open.stage == request_stage::reserving &&
             final.kind == base::error_kind::peer_unreachable)
         {
-            // The slot may have been granted all the same.
+            // The slot may have been granted nevertheless, so it is returned.
             core::send_message message{open.agent, {}};
             core::to_wire(
                 open.attempt,
@@ -420,7 +429,7 @@
     }
     else if (base::row_of(final.kind).ran == base::ran_state::no)
     {
-        // Certainly not run: its claim is cleared when it closes.
+        // Certainly not run: close_request marks its claim accordingly.
         open.stage = request_stage::waiting;
     }
     end_with_error(state, open, std::move(final), now, out);
@@ -449,7 +458,7 @@
         find_attempt(state, core::from_wire(grant.attempt()), peer);
     if (open == nullptr || open->stage != request_stage::reserving)
     {
-        // The slot runs out by itself.
+        // The granted slot expires by itself.
         out.push_back(
             core::count_metric{"foxtailvale_late_replies_dropped_total"});
         return;
@@ -472,13 +481,14 @@
 {
     note_load(state, peer, output);
     auto const attempt = core::from_wire(output.attempt());
-    // Failure: an answer comes late, after its request was tried elsewhere, or
-    // crossed. Relayed, a caller would get somebody else's text. Each attempt
-    // has its own id, so only the awaited one passes.
+    // Failure: an answer arrives late, after its request was tried elsewhere,
+    // or belongs to another request. If it were relayed, the caller would get
+    // another caller's text. Each attempt has its own id, so only the answer to
+    // the current attempt is accepted.
     auto* open = find_attempt(state, attempt, peer);
     if (open != nullptr && !open->detached && now >= open->deadline)
     {
-        end_late(state, *open, now, out);
+        end_past_deadline(state, *open, now, out);
         open = find_attempt(state, attempt, peer);
     }
     if (open == nullptr)
@@ -494,7 +504,7 @@
             now, out);
         return;
     }
-    auto fault = misfit(*open, output);
+    auto fault = continuity_error(*open, output);
     if (fault)
     {
         cancel_attempt(*open, out);
@@ -533,7 +543,7 @@
     {
         return;
     }
-    if (open->stage == request_stage::asking_outcome)
+    if (open->stage == request_stage::querying_outcome)
     {
         end_with_error(
             state, *open,
@@ -551,8 +561,9 @@
     std::vector<caller_handle> lost;
     for (auto const& [caller, open] : state.requests.open)
     {
-        // While a claim is written its answer is awaited first; the token that
-        // the body then carries is void.
+        // A request that is writing its claim is left to wait for the answer of
+        // that write. The body that it sends afterwards carries a token that is
+        // void.
         auto const at_agent = open.stage == request_stage::running ||
                               open.stage == request_stage::reserving;
         if (open.agent == agent && at_agent)
--- a/libs/entry_core/src/claim_close.cpp
+++ b/libs/entry_core/src/claim_close.cpp
@@ -1,8 +1,8 @@
 #include "flows.hpp"
 
-// The last write of a claim. Nobody waits for it: the caller has the answer,
-// and until it is stored the agent remembers the outcome. It is tried a few
-// times and holds up a planned stop meanwhile.
+// The final write of a claim. No caller waits for it: the answer was already
+// sent, and until it is stored the agent remembers the outcome. The write is
+// tried a few times, and a planned stop waits for it.
 namespace foxtailvale::entry_core
 {
 
@@ -11,12 +11,12 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::uint32_t most_tries = 5;
-constexpr milliseconds retry_pause{500};
+constexpr std::uint32_t max_tries = 5;
+constexpr milliseconds retry_delay{500};
 
-// Answers that wait to be stored, for memory. Past it the agent's memory of
-// the outcome has to do.
-constexpr std::size_t most_closing = 512;
+// Answers that may wait to be stored; bounds memory. Beyond this number answers
+// are not stored, and only the agent remembers the outcome.
+constexpr std::size_t max_closing_claims = 512;
 
 void send_write(
     state& state,
@@ -49,7 +49,7 @@
     actions& out)
 {
     auto& requests = state.requests;
-    if (requests.closing.size() >= most_closing)
+    if (requests.closing.size() >= max_closing_claims)
     {
         out.push_back(
             core::count_metric{"foxtailvale_answers_not_stored_total"});
@@ -77,15 +77,15 @@
         return;
     }
     // A conflict means that an earlier try took effect, or that another entry
-    // learned the outcome from the agent and has stored it.
+    // got the outcome from the agent and has stored it.
     auto const settled =
         answer.ok || answer.error == base::error_kind::platform_conflict;
-    if (settled || found->second.tries >= most_tries)
+    if (settled || found->second.tries >= max_tries)
     {
         state.requests.closing.erase(found);
         return;
     }
-    found->second.next_try = now + retry_pause;
+    found->second.next_try = now + retry_delay;
 }
 
 void on_closing_tick(state& state, base::time_point now, actions& out)
--- a/libs/entry_core/src/claim_flow.cpp
+++ b/libs/entry_core/src/claim_flow.cpp
@@ -2,10 +2,11 @@
 
 #include <core/wire_ids.hpp>
 
-// At most once for calls with an idempotency key: the claim in the object API
-// is created, by one conditional write, after a slot was granted and before the
-// body is sent. Whoever finds a claim asks its agent and never runs the call
-// unless that agent says that it was not run.
+// Runs calls with an idempotency key at most once. The claim is created in the
+// object API by one conditional write, after a slot was granted and before the
+// body is sent. An entry that finds a claim of another attempt asks the agent
+// named in it, and runs the call only if the claim or that agent says that the
+// attempt was not run.
 namespace foxtailvale::entry_core
 {
 
@@ -14,22 +15,23 @@
 
 using std::chrono::milliseconds;
 
-// A claim's read or write is given up after this long; the platform answers in
-// milliseconds when it is well.
-constexpr milliseconds platform_patience{1000};
+// Time-out of a claim's read or write. A healthy platform answers in
+// milliseconds.
+constexpr milliseconds claim_call_timeout{1000};
 
-// An agent answers from memory.
-constexpr milliseconds outcome_patience{500};
+// Time-out of an outcome query. An agent answers it from memory.
+constexpr milliseconds outcome_query_timeout{500};
 
-// Calls that wait for the platform at a time. When it is slow, each holds a
-// slot of its gate; more would only wait behind them.
-constexpr std::size_t most_claims_under_way = 256;
+// Claim calls that may wait for the platform at a time. When the platform is
+// slow, each holds a slot of its gate, and more calls would only queue behind
+// them.
+constexpr std::size_t max_claim_calls = 256;
 
-// The same write is sent again once; after that the platform is taken for
-// unavailable.
-constexpr std::uint32_t most_writes = 2;
+// Times that the same claim is written. It is repeated once; after that the
+// platform counts as unavailable.
+constexpr std::uint32_t max_claim_writes = 2;
 
-std::size_t claims_under_way(state const& state)
+std::size_t count_claim_calls(state const& state)
 {
     std::size_t count = 0;
     for (auto const& [id, call] : state.control.calls)
@@ -41,11 +43,11 @@
     return count;
 }
 
-milliseconds patience(open_request const& open, base::time_point now)
+milliseconds call_timeout(open_request const& open, base::time_point now)
 {
     auto const left =
         std::chrono::duration_cast<milliseconds>(open.deadline - now);
-    return std::max(std::min(left, platform_patience), milliseconds(1));
+    return std::max(std::min(left, claim_call_timeout), milliseconds(1));
 }
 
 void call_for_claim(
@@ -60,7 +62,7 @@
     pending.request = open.request.caller;
     pending.claim_path = call.path;
     pending.claim_text = call.value;
-    call.wait = patience(open, now);
+    call.wait = call_timeout(open, now);
     call_platform(state, std::move(call), std::move(pending), out);
 }
 
@@ -82,8 +84,8 @@
         now, out);
 }
 
-// Answers a call that ran before.
-void answer_again(
+// Answers a call that ran before with its stored answer.
+void return_stored_answer(
     state& state,
     open_request& open,
     request::claim const& ended,
@@ -96,24 +98,25 @@
             state, open, {base::error_kind::answer_not_kept, {}}, now, out);
         return;
     }
-    reply again;
-    again.caller = open.request.caller;
-    again.status = ended.status;
-    again.content_type = ended.content_type;
-    again.body = ended.body;
-    again.last = true;
-    again.generation = open.generation;
-    out.push_back(std::move(again));
+    reply stored;
+    stored.caller = open.request.caller;
+    stored.status = ended.status;
+    stored.content_type = ended.content_type;
+    stored.body = ended.body;
+    stored.last = true;
+    stored.generation = open.generation;
+    out.push_back(std::move(stored));
     out.push_back(
         core::count_metric{"foxtailvale_stored_answers_returned_total"});
-    close(state, open.request.caller, now, out);
+    close_request(state, open.request.caller, now, out);
 }
 
-void ask_outcome(
+void query_outcome(
     state& state, open_request& open, base::time_point now, actions& out)
 {
     auto const& found = *open.claim->found;
-    // The one that runs it is open in this entry, or another that asks is.
+    // The request that runs this attempt, or another one that queries its
+    // outcome, is open in this entry.
     if (state.requests.attempts.contains(found.attempt))
     {
         end_with_error(
@@ -127,8 +130,8 @@
             {base::error_kind::outcome_unknown, "its agent is gone"}, now, out);
         return;
     }
-    open.stage = request_stage::asking_outcome;
-    open.stage_end = now + outcome_patience;
+    open.stage = request_stage::querying_outcome;
+    open.stage_deadline = now + outcome_query_timeout;
     open.agent = found.agent;
     open.attempt = found.attempt;
     state.requests.attempts.emplace(open.attempt, open.request.caller);
@@ -139,8 +142,8 @@
     out.push_back(std::move(message));
 }
 
-// Another attempt holds the claim.
-void follow_claim(
+// Continues a request whose key is claimed by another attempt.
+void handle_found_claim(
     state& state, open_request& open, base::time_point now, actions& out)
 {
     auto const& found = *open.claim->found;
@@ -153,16 +156,17 @@
     switch (found.state)
     {
     case request::claim_state::finished:
-        return answer_again(state, open, found, now, out);
+        return return_stored_answer(state, open, found, now, out);
     case request::claim_state::not_run:
         return admit(state, open, now, out);
     case request::claim_state::running:
-        return ask_outcome(state, open, now, out);
+        return query_outcome(state, open, now, out);
     }
 }
 
-// Another claim was found in place of ours: the slot is not needed.
-void lose_slot(open_request& open, state& state, actions& out)
+// Returns the granted slot, which is not needed because another claim was found
+// in place of ours.
+void release_unused_slot(open_request& open, state& state, actions& out)
 {
     core::send_message message{open.agent, {}};
     core::to_wire(
@@ -175,11 +179,11 @@
     open.stage = request_stage::reading_claim;
 }
 
-// The claim does not name us after a write without an answer.
-void write_again(
+// Writes the claim again after a write without an answer had no effect.
+void retry_claim_write(
     state& state, open_request& open, base::time_point now, actions& out)
 {
-    if (open.claim->writes >= most_writes)
+    if (open.claim->writes >= max_claim_writes)
     {
         refuse_unclaimed(state, open, now, out);
         return;
@@ -196,8 +200,8 @@
     actions& out)
 {
     // Failure: the write took effect and its answer was lost. Without the
-    // attempt's random id the entry could not tell its own claim from one of
-    // another entry, and would refuse a call that it alone may run.
+    // attempt's random id, the entry could not tell its own claim from another
+    // entry's, and would refuse a call that only it may run.
     if (found.attempt == open.attempt)
     {
         open.claim->version = version;
@@ -207,13 +211,13 @@
     }
     if (version == open.claim->version)
     {
-        write_again(state, open, now, out);
+        retry_claim_write(state, open, now, out);
         return;
     }
-    lose_slot(open, state, out);
+    release_unused_slot(open, state, out);
     open.claim->found = std::move(found);
     open.claim->version = version;
-    follow_claim(state, open, now, out);
+    handle_found_claim(state, open, now, out);
 }
 
 void on_claim_absent(
@@ -221,14 +225,15 @@
 {
     if (open.stage == request_stage::reading_back)
     {
-        write_again(state, open, now, out);
+        retry_claim_write(state, open, now, out);
         return;
     }
     open.claim->version = 0;
     admit(state, open, now, out);
 }
 
-// The write went through although its request has ended as "not run".
+// Marks a claim as not run whose write took effect although its request has
+// ended as not run.
 void clear_late_claim(
     state& state,
     core::platform_answer const& answer,
@@ -256,9 +261,9 @@
 void read_claim(
     state& state, open_request& open, base::time_point now, actions& out)
 {
-    auto const& asked = open.request;
+    auto const& incoming = open.request;
     open.stage = request_stage::reading_claim;
-    if (claims_under_way(state) >= most_claims_under_way)
+    if (count_claim_calls(state) >= max_claim_calls)
     {
         refuse_unclaimed(state, open, now, out);
         return;
@@ -266,9 +271,9 @@
     open.claim.emplace();
     open.claim->path = request::claim_path(
         core::claims_prefix,
-        {asked.workspace, asked.service, asked.idempotency_key});
+        {incoming.workspace, incoming.service, incoming.idempotency_key});
     open.claim->request_digest = request::request_digest(
-        asked.method, asked.path, asked.content_type, asked.body);
+        incoming.method, incoming.path, incoming.content_type, incoming.body);
     get_claim(state, open, now, out);
 }
 
@@ -280,7 +285,7 @@
     claim.agent = open.agent;
     claim.request_digest = open.claim->request_digest;
     open.stage = request_stage::writing_claim;
-    open.stage_end.reset();
+    open.stage_deadline.reset();
     ++open.claim->writes;
     call_for_claim(
         state, open,
@@ -298,12 +303,12 @@
     base::time_point now,
     actions& out)
 {
-    auto const entry = state.requests.open.find(call.request);
-    if (entry == state.requests.open.end())
+    auto const found_request = state.requests.open.find(call.request);
+    if (found_request == state.requests.open.end())
     {
         return;
     }
-    auto& open = entry->second;
+    auto& open = found_request->second;
     if (!answer.ok)
     {
         return answer.error == base::error_kind::not_found
@@ -313,7 +318,7 @@
     auto found = request::parse_claim(answer.value);
     if (!found)
     {
-        // Whatever it is, it says that somebody took the key.
+        // Even an unreadable claim shows that the key has been used.
         end_with_error(
             state, open,
             {base::error_kind::outcome_unknown, "the claim is unreadable"}, now,
@@ -328,7 +333,7 @@
     }
     open.claim->version = answer.version;
     open.claim->found = std::move(found.value());
-    follow_claim(state, open, now, out);
+    handle_found_claim(state, open, now, out);
 }
 
 void on_claim_written(
@@ -338,13 +343,13 @@
     base::time_point now,
     actions& out)
 {
-    auto const entry = state.requests.open.find(call.request);
-    if (entry == state.requests.open.end())
+    auto const found_request = state.requests.open.find(call.request);
+    if (found_request == state.requests.open.end())
     {
         clear_late_claim(state, answer, call, now, out);
         return;
     }
-    auto& open = entry->second;
+    auto& open = found_request->second;
     if (answer.ok)
     {
         open.claim->version = answer.version;
@@ -366,11 +371,11 @@
 {
     auto* const open =
         find_attempt(state, core::from_wire(answer.attempt()), peer);
-    if (open == nullptr || open->stage != request_stage::asking_outcome)
+    if (open == nullptr || open->stage != request_stage::querying_outcome)
     {
         return;
     }
-    open->stage_end.reset();
+    open->stage_deadline.reset();
     auto found = *open->claim->found;
     switch (answer.state())
     {
@@ -390,7 +395,7 @@
         found.body_kept = answer.body_kept();
         close_claim(
             state, open->claim->path, open->claim->version, found, now, out);
-        answer_again(state, *open, found, now, out);
+        return_stored_answer(state, *open, found, now, out);
         return;
     default:
         end_with_error(
--- a/libs/entry_core/src/control_flow.cpp
+++ b/libs/entry_core/src/control_flow.cpp
@@ -11,16 +11,17 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds watch_length{10'000};
-// How often a watcher looks at the list of VMs. The list lags by itself; more
-// often would cost calls and show nothing sooner.
+constexpr milliseconds watch_timeout{10'000};
+// Interval at which a watcher reads the list of VMs. The list itself lags;
+// shorter intervals would cost calls and show changes no sooner.
 constexpr milliseconds list_interval{2000};
-// How often all plans are read again. Peers push them; reading repairs what a
-// cut between domains kept from them, and costs all plans' bytes.
+// Interval at which all plans are read again. Peers push plans. Reading
+// recovers pushes that were lost while failure domains were cut off from each
+// other, and transfers the bytes of all plans.
 constexpr milliseconds plan_interval{60'000};
-// An entry that starts gives its peers this long to tell it what is in force,
-// before it trusts the platform. They greet it within a second.
-constexpr milliseconds peer_patience{2000};
+// Time for which a starting entry waits for its peers to send what is in force
+// before it trusts the platform. Peers greet it within a second.
+constexpr milliseconds peer_answer_timeout{2000};
 
 bool is_pending(state const& state, call_purpose purpose)
 {
@@ -54,15 +55,16 @@
 }
 
 // Failure: the platform answers a process that has just started from an old
-// copy; trusting it, the entry would route by a configuration that its peers
-// have replaced, and an accepted change would seem to revert. So peers speak
-// first. What stays: peers that are all silent for the whole patience.
+// copy. If the entry trusted it, it would route by a configuration that its
+// peers have replaced, and an accepted change would appear to revert. So the
+// peers are heard first. The remaining risk is that no peer answers within the
+// whole time-out.
 bool trusts_platform(state const& state, base::time_point now)
 {
     auto const& control = state.control;
-    auto const since = control.gossip.listed_since;
+    auto const since = control.gossip.peers_known_since;
     return control.configuration.generation > 0 ||
-           (since && now - *since > peer_patience);
+           (since && now - *since > peer_answer_timeout);
 }
 
 void on_release(
@@ -88,10 +90,10 @@
     adopt(state, std::move(parsed.value()), now, out);
 }
 
-void note_plan(state& state, release::object_reader entry, actions& out)
+void note_plan(state& state, release::object_reader plan_object, actions& out)
 {
-    auto const version = entry.number("version", 0, 1ULL << 62U);
-    auto parsed = control::parse_plan(entry.text("value"));
+    auto const version = plan_object.number("version", 0, 1ULL << 62U);
+    auto parsed = control::parse_plan(plan_object.text("value"));
     if (!parsed)
     {
         out.push_back(core::report_error{parsed.error(), {}});
@@ -126,14 +128,14 @@
     state.control.plans_read = true;
 }
 
-// "Not found" and a lost race are answers too.
+// "Not found" and a version conflict are answers too.
 bool was_answered(core::platform_answer const& answer)
 {
     return answer.ok || answer.error == base::error_kind::not_found ||
            answer.error == base::error_kind::platform_conflict;
 }
 
-void pace(
+void apply_backoff(
     state& state,
     call_purpose purpose,
     core::platform_answer const& answer,
@@ -157,11 +159,11 @@
             {.method = core::platform_method::watch,
              .path = core::release_path,
              .expected = state.control.release_object_version,
-             .wait = watch_length},
+             .wait = watch_timeout},
             now, out);
     }
-    // Plans are read again when a write's outcome is in doubt, and now and
-    // then in case that a cut kept a peer's push away.
+    // Plans are read again when the outcome of a write is unknown, and
+    // periodically in case a network cut kept a peer's push away.
     auto& next = state.control.next_call;
     if (!state.control.plans_read && next.contains(call_purpose::plan_list) &&
         next[call_purpose::plan_list] > now + control::longest_pause)
@@ -174,7 +176,7 @@
         now, out);
 }
 
-void read_list(state& state, base::time_point now, actions& out)
+void read_vm_list(state& state, base::time_point now, actions& out)
 {
     call_when_due(
         state, call_purpose::vm_list,
@@ -216,13 +218,13 @@
     {
     case call_purpose::vm_list:
         state.control.next_call[call.purpose] = now + list_interval;
-        pace(state, call.purpose, answer, now);
+        apply_backoff(state, call.purpose, answer, now);
         return on_vm_list(state, answer, now, out);
     case call_purpose::release_watch:
-        pace(state, call.purpose, answer, now);
+        apply_backoff(state, call.purpose, answer, now);
         return on_release(state, answer, now, out);
     case call_purpose::plan_list:
-        pace(state, call.purpose, answer, now);
+        apply_backoff(state, call.purpose, answer, now);
         return on_plan_list(state, answer, now, out);
     case call_purpose::lease_read:
         return on_lease_read(state, answer, now);
@@ -250,20 +252,20 @@
         gossip.last_round = long_ago;
         gossip.last_report = long_ago;
         gossip.last_load_report = long_ago;
-        gossip.last_whole_digest = long_ago;
+        gossip.last_complete_digest = long_ago;
     }
     check_members(state, now, out);
-    // Without a list an entry knows no peers, so it reads one itself.
+    // Without a list an entry knows no peers, so it reads the list itself.
     auto const is_listed = state.control.members.list_version > 0;
     if (!is_listed || is_watcher(state))
     {
-        read_list(state, now, out);
+        read_vm_list(state, now, out);
     }
     if (is_listed && is_watcher(state))
     {
         watch_platform(state, now, out);
     }
-    say_hello(state, now, out);
+    send_greetings(state, now, out);
     report_endpoints(state, now, out);
 }
 
--- a/libs/entry_core/src/endpoint_flow.cpp
+++ b/libs/entry_core/src/endpoint_flow.cpp
@@ -11,22 +11,24 @@
 
 using std::chrono::milliseconds;
 
-// News that placing depends on (what serves, who leaves or is silent) goes out
-// within this time; it is gathered so that one frame carries many.
-constexpr milliseconds news_interval{200};
+// Changes that placement depends on (what is served, which endpoints leave or
+// are suspected) are sent within this time. They are collected so that one
+// frame carries many.
+constexpr milliseconds change_report_interval{200};
 
-// Load goes out this often. Made for 215 endpoints in a domain of 60 entries:
-// each entry hears 59 others about 4 endpoints each, which at once a second
-// would be more than the whole budget of 4 KB/s. Load that is some seconds old
-// does little harm: an entry counts what it has sent itself, two random
-// choices forgive, and the gate before the endpoint refuses what is too much.
-constexpr milliseconds load_interval{4000};
+// Interval of load reports. With 215 endpoints in a failure domain of 60
+// entries, each entry hears from 59 others about 4 endpoints each; once a
+// second, that would exceed the entire budget of 4 KB/s. Load values that are
+// some seconds old do little harm: an entry counts the requests it has sent
+// itself, choosing between two random endpoints tolerates old values, and the
+// gate before the endpoint refuses what exceeds its limit.
+constexpr milliseconds load_report_interval{4000};
 
-// A heartbeat shows an old configuration for a moment after each change; the
-// push is under way. After this long it was lost.
-constexpr milliseconds push_patience{1500};
+// Heartbeats show the old configuration for a moment after each change, while
+// the push is on its way. After this time the push is considered lost.
+constexpr milliseconds push_grace_period{1500};
 
-constexpr milliseconds far_patience{17'500};
+constexpr milliseconds remote_silence_limit{17'500};
 
 std::uint64_t detail_hash(endpoint_view const& view)
 {
@@ -65,14 +67,15 @@
             view.chunks_held, detail_hash(view)};
 }
 
-bool is_news(reported_endpoint const& before, reported_endpoint const& now)
+bool has_urgent_change(
+    reported_endpoint const& before, reported_endpoint const& now)
 {
     return before.leaving != now.leaving || before.suspected != now.suspected ||
            before.detail_hash != now.detail_hash ||
            (before.limit == 0) != (now.limit == 0);
 }
 
-bool is_other_load(
+bool has_load_change(
     reported_endpoint const& before, reported_endpoint const& now)
 {
     return before.limit != now.limit || before.running != now.running ||
@@ -86,27 +89,28 @@
     bool with_detail,
     wire::EndpointGossip& gossip)
 {
-    auto* const entry = gossip.add_endpoints();
-    entry->set_agent(base::stable_hash(agent));
-    entry->set_limit(view.limit);
-    entry->set_running(view.running);
-    entry->set_leaving(view.leaving);
-    entry->set_suspected(is_suspected(state, agent));
-    entry->set_chunks_held(view.chunks_held);
-    entry->set_chunks_wanted(view.chunks_wanted);
+    auto* const endpoint_state = gossip.add_endpoints();
+    endpoint_state->set_agent(base::stable_hash(agent));
+    endpoint_state->set_limit(view.limit);
+    endpoint_state->set_running(view.running);
+    endpoint_state->set_leaving(view.leaving);
+    endpoint_state->set_suspected(is_suspected(state, agent));
+    endpoint_state->set_chunks_held(view.chunks_held);
+    endpoint_state->set_chunks_wanted(view.chunks_wanted);
     if (with_detail)
     {
-        to_wire(view, *entry->mutable_detail());
+        to_wire(view, *endpoint_state->mutable_detail());
     }
 }
 
-// What changed since the last report, and is worth a frame now.
-wire::EndpointGossip gather(state& state, bool load_too)
+// Collects the endpoints with changes that are sent now. Changes of load alone
+// are included only if include_load is set.
+wire::EndpointGossip collect_changes(state& state, bool include_load)
 {
     wire::EndpointGossip gossip;
     auto& own = state.control.gossip;
-    auto names = own.reported;
-    names.insert(own.contradicted.begin(), own.contradicted.end());
+    auto names = own.reported_agents;
+    names.insert(own.disputed_agents.begin(), own.disputed_agents.end());
     for (auto const& agent : names)
     {
         auto const view = state.control.endpoints.find(agent);
@@ -115,28 +119,33 @@
             continue;
         }
         auto const report = make_report(state, agent, view->second);
-        auto const [told, is_new] = own.told.try_emplace(agent);
-        auto const news = is_new || is_news(told->second, report) ||
-                          own.contradicted.contains(agent);
-        if (!news && !(load_too && is_other_load(told->second, report)))
+        auto const [last_sent, is_new] = own.sent_reports.try_emplace(agent);
+        auto const urgent = is_new ||
+                            has_urgent_change(last_sent->second, report) ||
+                            own.disputed_agents.contains(agent);
+        if (!urgent &&
+            !(include_load && has_load_change(last_sent->second, report)))
         {
             continue;
         }
         auto const with_detail =
-            is_new || told->second.detail_hash != report.detail_hash;
+            is_new || last_sent->second.detail_hash != report.detail_hash;
         add_report(state, agent, view->second, with_detail, gossip);
-        told->second = report;
+        last_sent->second = report;
     }
-    own.contradicted.clear();
+    own.disputed_agents.clear();
     return gossip;
 }
 
 void note_gossip(
-    state& state, wire::EndpointState const& entry, base::time_point now)
+    state& state,
+    wire::EndpointState const& endpoint_state,
+    base::time_point now)
 {
     auto& control = state.control;
-    auto const name = control.gossip.names.find(entry.agent());
-    if (name == control.gossip.names.end())
+    auto const name =
+        control.gossip.agents_by_hash.find(endpoint_state.agent());
+    if (name == control.gossip.agents_by_hash.end())
     {
         return;
     }
@@ -146,50 +155,51 @@
         return;
     }
     auto& known = found->second;
-    auto const heard_here = known.first_hand &&
-                            known.state == control::liveness::alive &&
-                            now - known.heard <= known.patience;
-    if (heard_here)
+    auto const hears_agent = known.first_hand &&
+                             known.state == control::liveness::alive &&
+                             now - known.heard <= known.patience;
+    if (hears_agent)
     {
-        // Failure: the line between an agent and the entry that reports it is
-        // cut, one way or both. Believed, that report would take a healthy
-        // endpoint away from the whole domain; whoever still hears the agent
-        // says so.
-        if (entry.suspected())
+        // Failure: the link between an agent and the entry that reports it is
+        // cut in one or both directions. If its report were believed, the
+        // entire failure domain would lose a healthy endpoint. So an entry that
+        // still hears the agent contradicts it.
+        if (endpoint_state.suspected())
         {
-            control.gossip.contradicted.insert(name->second);
+            control.gossip.disputed_agents.insert(name->second);
         }
         return;
     }
     auto const is_known = control.endpoints.contains(name->second);
-    if (!is_known && !entry.has_detail())
+    if (!is_known && !endpoint_state.has_detail())
     {
         return;
     }
     auto& view = control.endpoints[name->second];
     view.failure_domain = state.self.failure_domain;
-    view.limit = entry.limit();
-    view.running = entry.running();
-    view.leaving = entry.leaving();
-    view.chunks_held = entry.chunks_held();
-    view.chunks_wanted = entry.chunks_wanted();
-    if (entry.has_detail())
+    view.limit = endpoint_state.limit();
+    view.running = endpoint_state.running();
+    view.leaving = endpoint_state.leaving();
+    view.chunks_held = endpoint_state.chunks_held();
+    view.chunks_wanted = endpoint_state.chunks_wanted();
+    if (endpoint_state.has_detail())
     {
-        view.service = entry.detail().service();
-        view.generation = entry.detail().generation();
+        view.service = endpoint_state.detail().service();
+        view.generation = endpoint_state.detail().generation();
         view.serving.clear();
-        for (auto const& loaded : entry.detail().loaded())
+        for (auto const& loaded : endpoint_state.detail().loaded())
         {
             view.serving[loaded.model()] = loaded.digest();
         }
     }
-    auto const reported = entry.leaving()     ? control::liveness::leaving
-                          : entry.suspected() ? control::liveness::suspected
-                                              : control::liveness::alive;
+    auto const reported = endpoint_state.leaving() ? control::liveness::leaving
+                          : endpoint_state.suspected()
+                              ? control::liveness::suspected
+                              : control::liveness::alive;
     control::note_report(control.members, name->second, reported, now);
 }
 
-void take_detail(endpoint_view& view, wire::Heartbeat const& beat)
+void apply_detail(endpoint_view& view, wire::Heartbeat const& beat)
 {
     view.service = beat.service();
     view.failure_domain = beat.failure_domain();
@@ -200,10 +210,10 @@
     }
 }
 
-// Failure: an agent has missed a push, or its own domain's entries cannot
-// reach it while another domain's can. It would go on under a configuration
-// that all others have left. Whoever hears its heartbeat sees the older
-// generation and pushes again.
+// Failure: an agent has missed a push, or the entries of its own failure domain
+// cannot reach it while those of another can. It would continue with a
+// configuration that all others have replaced. So every entry that sees an
+// older generation in its heartbeat pushes the configuration again.
 void push_if_behind(
     state& state,
     std::string const& agent,
@@ -213,7 +223,7 @@
 {
     auto const& control = state.control;
     if (beat.generation() < control.configuration.generation &&
-        now - control.gossip.adopted > push_patience)
+        now - control.gossip.adopted_at > push_grace_period)
     {
         push_configuration(state, agent, out);
     }
@@ -236,7 +246,7 @@
     auto const is_known = control.endpoints.contains(peer);
     if (!is_known && beat.brief())
     {
-        // The whole one was lost; the next greeting brings another.
+        // The complete heartbeat was lost; the next greeting causes another.
         return;
     }
     auto& view = control.endpoints[peer];
@@ -247,12 +257,12 @@
     }
     if (!beat.brief())
     {
-        take_detail(view, beat);
+        apply_detail(view, beat);
     }
     auto& known = control.members.members.at(peer);
     if (known.vm.failure_domain != state.self.failure_domain)
     {
-        known.patience = far_patience;
+        known.patience = remote_silence_limit;
     }
     view.limit = beat.limit();
     view.running = beat.running();
@@ -266,26 +276,27 @@
 void on_endpoint_gossip(
     state& state, wire::EndpointGossip const& gossip, base::time_point now)
 {
-    for (auto const& entry : gossip.endpoints())
+    for (auto const& endpoint_state : gossip.endpoints())
     {
-        note_gossip(state, entry, now);
+        note_gossip(state, endpoint_state, now);
     }
 }
 
 void report_endpoints(state& state, base::time_point now, actions& out)
 {
     auto& own = state.control.gossip;
-    if (now - own.last_report < news_interval)
+    if (now - own.last_report < change_report_interval)
     {
         return;
     }
     own.last_report = now;
-    auto const load_too = now - own.last_load_report >= load_interval;
-    if (load_too)
+    auto const include_load =
+        now - own.last_load_report >= load_report_interval;
+    if (include_load)
     {
         own.last_load_report = now;
     }
-    auto const gossip = gather(state, load_too);
+    auto const gossip = collect_changes(state, include_load);
     if (gossip.endpoints().empty())
     {
         return;
@@ -301,11 +312,11 @@
     }
 }
 
-void report_whole(state& state, std::string const& peer, actions& out)
+void report_all_endpoints(state& state, std::string const& peer, actions& out)
 {
     core::send_message message{peer, {}};
     auto* const gossip = message.envelope.mutable_endpoint_gossip();
-    for (auto const& agent : state.control.gossip.reported)
+    for (auto const& agent : state.control.gossip.reported_agents)
     {
         auto const view = state.control.endpoints.find(agent);
         if (view != state.control.endpoints.end())
--- a/libs/entry_core/src/entry_core.cpp
+++ b/libs/entry_core/src/entry_core.cpp
@@ -19,7 +19,7 @@
     switch (envelope.body_case())
     {
     case body::BODY_NOT_SET:
-        // Only tells the peer's new incarnation.
+        // The frame carries only the peer's new incarnation.
         return;
     case body::kRunOutput:
         return on_run_output(state, peer, envelope.run_output(), now, out);
@@ -29,7 +29,7 @@
         return on_outcome_reply(
             state, peer, envelope.outcome_reply(), now, out);
     case body::kNotRunConfirmed:
-        // Said in reply to a slot that was given back; nobody waits for it.
+        // Reply to a returned slot; no request waits for it.
         return;
     case body::kSuspectNotice:
         return on_suspect_notice(state, envelope.suspect_notice(), now, out);
@@ -50,19 +50,19 @@
         return on_leaving(state, peer, now, out);
     default:
         out.push_back(core::report_error{
-            {base::error_kind::bad_frame, "no use for this message"},
+            {base::error_kind::bad_frame, "unexpected message type"},
             {{"peer", peer}}});
     }
 }
 
-// Whether an endpoint may have a free slot since.
+// Whether the frame may mean that an endpoint has a free slot.
 bool makes_room(wire::Envelope const& envelope)
 {
     return envelope.has_heartbeat() ||
            (envelope.has_run_output() && envelope.run_output().last());
 }
 
-// Hands each event to the flow that owns it.
+// Dispatches each event to its handler.
 class dispatcher
 {
 public:
@@ -115,7 +115,7 @@
 
     void operator()(caller_disconnected const& event)
     {
-        on_caller_left(this->core, event, this->now, this->out);
+        on_caller_disconnected(this->core, event, this->now, this->out);
     }
 
     void operator()(release_suspect const& event)
--- a/libs/entry_core/src/flows.hpp
+++ b/libs/entry_core/src/flows.hpp
@@ -3,8 +3,8 @@
 
 #include <entry_core/entry_core.hpp>
 
-// The parts of the entry's state machine, one file each. Each function takes
-// one event and appends what to do.
+// The parts of the entry's state machine, one source file each. Each handler
+// takes one event and appends the resulting actions.
 namespace foxtailvale::entry_core
 {
 
@@ -16,10 +16,14 @@
     caller_request const& request,
     base::time_point now,
     actions& out);
-void on_caller_left(
-    state& state, caller_disconnected const& left, base::time_point now, actions& out);
-// The deadline passed.
-void end_late(
+void on_caller_disconnected(
+    state& state,
+    caller_disconnected const& disconnected,
+    base::time_point now,
+    actions& out);
+// Ends a request whose deadline has passed. An attempt whose outcome must be
+// recorded stays open without its caller.
+void end_past_deadline(
     state& state, open_request& open, base::time_point now, actions& out);
 void on_request_tick(state& state, base::time_point now, actions& out);
 void check_drained(state& state, base::time_point now, actions& out);
@@ -27,9 +31,9 @@
 // request_end.cpp
 void refuse_caller(
     caller_request const& request, base::error error, actions& out);
-// Forgets the request. A slot that waits for its body is given back, and a
-// claim that names an attempt which was not run is cleared.
-void close(
+// Removes the request. Returns a slot whose body was not sent, and marks a held
+// claim as not run if its attempt was not run.
+void close_request(
     state& state, caller_handle caller, base::time_point now, actions& out);
 void end_with_error(
     state& state,
@@ -37,24 +41,27 @@
     base::error error,
     base::time_point now,
     actions& out);
-// Tells the agent to stop the attempt's work.
+// Asks the agent to cancel the attempt.
 void cancel_attempt(open_request const& open, actions& out);
 
 // queue_flow.cpp
-// Starts the request, lets it wait or refuses it.
+// Places the request, queues it or refuses it.
 void admit(
     state& state, open_request& open, base::time_point now, actions& out);
-// Puts a request back that a gate had no room for.
-void readmit(
+// Puts a request back at the head of its queue after no endpoint had room for
+// it. Refuses it if no endpoint serves it any more.
+void requeue(
     state& state, open_request& open, base::time_point now, actions& out);
-// Lets a cut stream wait for an endpoint of its digest; false when there is
-// none.
+// Queues an interrupted stream for an endpoint that serves its digest; false
+// when there is none.
 bool wait_to_resume(state& state, open_request& open);
-// Starts what waits, as far as there is room.
+// Places queued requests while endpoints have room.
 void serve_waiting(state& state, base::time_point now, actions& out);
-// Refuses at once what cannot be answered in time any more.
-void refuse_late(state& state, base::time_point now, actions& out);
-// Takes a request out of its queue, if it waits.
+// Refuses queued requests that can no longer be answered by their deadlines,
+// and those that no endpoint serves.
+void refuse_unreachable_deadlines(
+    state& state, base::time_point now, actions& out);
+// Removes a request from its queue, if it is queued.
 void leave_queue(state& state, open_request const& open);
 request_pool& pool_of(state& state, open_request const& open);
 
@@ -62,8 +69,8 @@
 // Starts the next attempt; false when no endpoint has room.
 bool place(
     state& state, open_request& open, base::time_point now, actions& out);
-// Whether any endpoint could serve the request, room or not.
-bool is_served(state const& state, open_request const& open);
+// Whether any endpoint can serve the request, with or without a free slot.
+bool is_servable(state const& state, open_request const& open);
 void send_run(
     state& state, open_request& open, base::time_point now, actions& out);
 void attempt_failed(
@@ -91,23 +98,24 @@
     core::send_failed const& failed,
     base::time_point now,
     actions& out);
-// An agent is gone: what it ran is lost.
+// Fails the attempts at an agent that is gone.
 void on_endpoint_lost(
     state& state, std::string const& agent, base::time_point now, actions& out);
-// Decides whether the balancer may send callers.
+// Decides whether the load balancer may route callers to this entry.
 void update_readiness(state& state, base::time_point now);
 
 // probe_flow.cpp
-// Notes the incarnation that a peer speaks with; a new one lost what the one
-// before ran.
+// Records the incarnation that a peer's frame carries. A new incarnation means
+// that the peer restarted and lost the attempts it ran.
 void note_incarnation(
     state& state,
     std::string const& peer,
     std::uint64_t incarnation,
     base::time_point now,
     actions& out);
-// Asks agents that run something for us and have been silent for a sign.
-void probe_silent_agents(state& state, base::time_point now, actions& out);
+// Probes agents that run requests of this entry and have sent nothing lately.
+void probe_unresponsive_agents(
+    state& state, base::time_point now, actions& out);
 
 // suspect_flow.cpp
 request::fingerprint fingerprint_of(caller_request const& request);
@@ -145,7 +153,7 @@
     actions& out);
 
 // claim_close.cpp
-// Records how the attempt that the claim names has ended.
+// Records in the claim how the attempt that it names has ended.
 void close_claim(
     state& state,
     std::string path,
@@ -167,14 +175,15 @@
     base::time_point now,
     actions& out);
 void on_control_tick(state& state, base::time_point now, actions& out);
-// Makes a platform call and remembers why.
+// Makes a platform call and records its purpose until it is answered.
 void call_platform(
     state& state, core::platform_call call, pending_call pending, actions& out);
-// Whether a call of this purpose may be made now; takes a token if so.
+// Whether a call of this purpose may be made now; if so, takes a token from the
+// call budget.
 bool may_call(state& state, call_purpose purpose, base::time_point now);
 
 // membership_flow.cpp
-// Whether this entry waits at the platform for its failure domain.
+// Whether this entry watches the platform on behalf of its failure domain.
 bool is_watcher(state const& state);
 void on_vm_list(
     state& state,
@@ -186,15 +195,17 @@
     wire::VmListPush const& push,
     base::time_point now,
     actions& out);
-void push_whole_list(state const& state, std::string const& peer, actions& out);
+void push_complete_list(
+    state const& state, std::string const& peer, actions& out);
 void on_leaving(
     state& state, std::string const& peer, base::time_point now, actions& out);
 void announce_leaving(state const& state, actions& out);
-// Suspects the silent and renews who talks to whom.
+// Suspects unresponsive members and updates which peers this entry talks to.
 void check_members(state& state, base::time_point now, actions& out);
 
 // replication_flow.cpp
-// Adopts a configuration, upwards only, and passes it on.
+// Adopts a configuration with a higher generation than the current one and
+// pushes it to peers.
 void adopt(
     state& state,
     release::configuration next,
@@ -214,8 +225,9 @@
     core::message_received const& message,
     base::time_point now,
     actions& out);
-// Exchanges digests with other entries and subscribes to heartbeats.
-void say_hello(state& state, base::time_point now, actions& out);
+// Sends the configuration digests of this round: greetings to other entries,
+// and subscriptions to the heartbeats of agents.
+void send_greetings(state& state, base::time_point now, actions& out);
 
 // endpoint_flow.cpp
 void on_heartbeat(
@@ -226,11 +238,11 @@
     actions& out);
 void on_endpoint_gossip(
     state& state, wire::EndpointGossip const& gossip, base::time_point now);
-// Tells the other entries of the domain what changed at the endpoints that
-// this one reports.
+// Sends the other entries of the failure domain what changed at the endpoints
+// that this one reports.
 void report_endpoints(state& state, base::time_point now, actions& out);
-// Tells one entry everything about them.
-void report_whole(state& state, std::string const& peer, actions& out);
+// Sends one entry the complete state of those endpoints.
+void report_all_endpoints(state& state, std::string const& peer, actions& out);
 
 // planner_flow.cpp
 void on_lease_read(
--- a/libs/entry_core/src/membership_flow.cpp
+++ b/libs/entry_core/src/membership_flow.cpp
@@ -13,7 +13,7 @@
 
 using std::chrono::milliseconds;
 
-// How often silence is looked for.
+// Interval of the check for unresponsive members.
 constexpr milliseconds check_interval{250};
 
 // Entries of each other failure domain that a watcher exchanges digests with.
@@ -61,7 +61,7 @@
     out.push_back(std::move(message));
 }
 
-void pass_on(
+void forward_change(
     state const& state, control::list_change const& change, actions& out)
 {
     auto const& order = state.control.gossip.order;
@@ -81,72 +81,74 @@
     }
 }
 
-bool is_own(state const& state, control::member const& known)
+bool is_in_own_domain(state const& state, control::member const& known)
 {
     return known.vm.failure_domain == state.self.failure_domain;
 }
 
-// Listens to the agents whose listener this entry is, in place of others that
-// died or instead of which another entry came.
+// Determines which agents send their heartbeats to this entry, and which of
+// them it reports, after entries were lost or added. The silence of an agent
+// for which this changes is measured anew, with the default limit.
 void assign_listeners(state& state, base::time_point now)
 {
     auto& gossip = state.control.gossip;
-    gossip.names.clear();
-    std::set<std::string> listened;
-    gossip.reported.clear();
+    gossip.agents_by_hash.clear();
+    std::set<std::string> heartbeat_agents;
+    gossip.reported_agents.clear();
     for (auto& [name, known] : state.control.members.members)
     {
-        if (known.vm.role != control::vm_role::agent || !is_own(state, known))
+        if (known.vm.role != control::vm_role::agent ||
+            !is_in_own_domain(state, known))
         {
             continue;
         }
-        gossip.names[base::stable_hash(name)] = name;
+        gossip.agents_by_hash[base::stable_hash(name)] = name;
         auto const listeners = control::listeners_of(gossip.order, name);
         if (listeners.front() == state.self.name)
         {
-            gossip.reported.insert(name);
+            gossip.reported_agents.insert(name);
         }
         auto const is_listener =
             std::ranges::find(listeners, state.self.name) != listeners.end();
         if (is_listener)
         {
-            listened.insert(name);
+            heartbeat_agents.insert(name);
         }
         if (is_listener != known.first_hand ||
-            (is_listener && !gossip.listened.contains(name)))
+            (is_listener && !gossip.heartbeat_agents.contains(name)))
         {
             known.first_hand = is_listener;
             known.heard = now;
             known.patience = control::silence_limit;
         }
     }
-    gossip.listened = std::move(listened);
+    gossip.heartbeat_agents = std::move(heartbeat_agents);
     std::erase_if(
-        gossip.told,
-        [&gossip](auto const& entry)
+        gossip.sent_reports,
+        [&gossip](auto const& item)
         {
-            return !gossip.reported.contains(entry.first);
+            return !gossip.reported_agents.contains(item.first);
         });
 }
 
-void choose_far(state& state)
+void choose_remote_agents(state& state)
 {
     auto& gossip = state.control.gossip;
     auto const chosen = control::far_endpoints(
         state.control.members, state.control.plans, state.self.failure_domain,
         state.self.name);
-    gossip.far = {chosen.begin(), chosen.end()};
+    gossip.remote_agents = {chosen.begin(), chosen.end()};
 }
 
-// Every process that this entry needs a connection to.
+// All processes that this entry needs a connection to.
 std::set<std::string> wanted_connections(state const& state)
 {
-    auto wanted = state.control.gossip.far;
+    auto wanted = state.control.gossip.remote_agents;
     std::set<std::string> domains;
     for (auto const& [name, known] : state.control.members.members)
     {
         domains.insert(known.vm.failure_domain);
-        if (is_own(state, known) && name != state.self.name)
+        if (is_in_own_domain(state, known) && name != state.self.name)
         {
             wanted.insert(name);
         }
@@ -169,8 +171,8 @@
 {
     out.push_back(core::disconnect_peer{name});
     state.control.addresses.erase(name);
-    state.control.gossip.lives.erase(name);
-    state.requests.lives.erase(name);
+    state.control.gossip.entry_incarnations.erase(name);
+    state.requests.peer_contacts.erase(name);
     if (state.control.endpoints.erase(name) > 0)
     {
         on_endpoint_lost(state, name, now, out);
@@ -205,7 +207,7 @@
         });
 }
 
-void renew_topology(state& state, base::time_point now, actions& out)
+void update_topology(state& state, base::time_point now, actions& out)
 {
     auto& gossip = state.control.gossip;
     auto order = control::entry_order(
@@ -217,11 +219,11 @@
     gossip.order = std::move(order);
     gossip.topology_stale = false;
     assign_listeners(state, now);
-    choose_far(state);
+    choose_remote_agents(state);
     connect_members(state, now, out);
 }
 
-void on_change(
+void on_list_change(
     state& state,
     control::list_change const& change,
     base::time_point now,
@@ -233,9 +235,9 @@
     }
     auto& gossip = state.control.gossip;
     gossip.topology_stale = true;
-    gossip.listed_since = gossip.listed_since.value_or(now);
-    renew_topology(state, now, out);
-    pass_on(state, change, out);
+    gossip.peers_known_since = gossip.peers_known_since.value_or(now);
+    update_topology(state, now, out);
+    forward_change(state, change, out);
 }
 
 } // namespace
@@ -264,7 +266,7 @@
         out.push_back(core::report_error{list.error(), {}});
         return;
     }
-    on_change(
+    on_list_change(
         state,
         control::diff_list(state.control.members, list.value(), answer.version),
         now, out);
@@ -284,10 +286,11 @@
         change.vms.push_back(from_wire(vm));
     }
     change.removed.assign(push.removed().begin(), push.removed().end());
-    on_change(state, change, now, out);
+    on_list_change(state, change, now, out);
 }
 
-void push_whole_list(state const& state, std::string const& peer, actions& out)
+void push_complete_list(
+    state const& state, std::string const& peer, actions& out)
 {
     send_change(control::whole_list(state.control.members), peer, out);
 }
@@ -299,7 +302,7 @@
         state.control.members, peer, control::liveness::leaving, now);
     out.push_back(
         core::write_log{kernel::event_id::peer_leaving, {{"peer", peer}}});
-    renew_topology(state, now, out);
+    update_topology(state, now, out);
 }
 
 void announce_leaving(state const& state, actions& out)
@@ -329,7 +332,7 @@
         out.push_back(core::write_log{
             kernel::event_id::peer_suspected, {{"peer", name}}});
     }
-    renew_topology(state, now, out);
+    update_topology(state, now, out);
 }
 
 } // namespace foxtailvale::entry_core
--- a/libs/entry_core/src/planner_flow.cpp
+++ b/libs/entry_core/src/planner_flow.cpp
@@ -11,7 +11,7 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds lease_read_interval{1000};
-constexpr milliseconds plan_pause{200};
+constexpr milliseconds plan_write_interval{200};
 
 void read_lease(state& state, base::time_point now, actions& out)
 {
@@ -38,7 +38,7 @@
         {call_purpose::lease_write, now, control.lease.version, {}}, out);
 }
 
-// Engine endpoints of this domain that a plan may use.
+// Engine endpoints of this failure domain that a plan may use.
 std::vector<control::plan_member> plan_members(
     state const& state,
     control::domain_plan const& previous,
@@ -84,7 +84,7 @@
     call.path = core::plan_path(domain);
     call.expected = control.plan_object_version;
     call.value = to_text(next);
-    control.next_call[call_purpose::plan_write] = now + plan_pause;
+    control.next_call[call_purpose::plan_write] = now + plan_write_interval;
     call_platform(
         state, call,
         {call_purpose::plan_write, now, control.plan_object_version,
@@ -117,7 +117,7 @@
     if (answer.ok)
     {
         auto const is_new = !lease.held_until;
-        control::lease_taken(lease, answer.version, call.asked);
+        control::lease_taken(lease, answer.version, call.sent_at);
         if (is_new)
         {
             out.push_back(core::write_log{kernel::event_id::lease_taken, {}});
@@ -142,7 +142,7 @@
 {
     if (!answer.ok)
     {
-        // Whether it took effect is settled by the next read of all plans.
+        // The next read of all plans shows whether the write took effect.
         state.control.plans_read = false;
         return;
     }
@@ -155,8 +155,9 @@
 void on_planner_tick(state& state, base::time_point now, actions& out)
 {
     auto& control = state.control;
-    // Only watchers compete: others would read the lease for nothing, and
-    // calls would grow with the entries.
+    // Only watchers compete for the lease. Reads by other entries would serve
+    // no purpose, and the number of calls would grow with the number of
+    // entries.
     if (control.stopping || control.members.list_version == 0 ||
         !is_watcher(state))
     {
--- a/libs/entry_core/src/probe_flow.cpp
+++ b/libs/entry_core/src/probe_flow.cpp
@@ -9,10 +9,10 @@
 namespace
 {
 
-// An agent that runs something for this entry and says nothing for this long
-// is asked for a sign. Made for long calls of plain services, which send
-// nothing until they end; twice a second over at most a few hundred such
-// agents stays far below the budget for control.
+// An agent that runs a request of this entry and sends nothing for this long is
+// probed. This covers long calls of plain services, which send nothing until
+// they end. Two probes a second to at most a few hundred such agents stay far
+// below the budget for control traffic.
 constexpr std::chrono::milliseconds probe_interval{500};
 
 std::set<std::string> busy_agents(state const& state)
@@ -37,36 +37,38 @@
     base::time_point now,
     actions& out)
 {
-    auto const added = state.requests.lives.try_emplace(
-        peer, peer_life{incarnation, now, now});
-    auto& life = added.first->second;
-    life.heard = now;
-    if (life.incarnation != incarnation)
+    auto const added = state.requests.peer_contacts.try_emplace(
+        peer, peer_contact{incarnation, now, now});
+    auto& contact = added.first->second;
+    contact.last_heard = now;
+    if (contact.incarnation != incarnation)
     {
-        life.incarnation = incarnation;
+        contact.incarnation = incarnation;
         on_endpoint_lost(state, peer, now, out);
     }
 }
 
-// Failure: an agent is restarted while it runs a booking. It speaks to three
-// entries only; another one would not hear of its new life, and the caller
-// would learn that the outcome is unknown only at the deadline. An empty frame
-// is answered by the new life's peer bus, which tells its incarnation.
-void probe_silent_agents(state& state, base::time_point now, actions& out)
+// Failure: an agent restarts while it runs a booking. It sends heartbeats to
+// three entries only, so another entry would not learn of the new incarnation,
+// and its caller would learn only at the deadline that the outcome is unknown.
+// An empty frame is answered by the peer bus of the new incarnation, which
+// thereby makes itself known.
+void probe_unresponsive_agents(state& state, base::time_point now, actions& out)
 {
     for (auto const& agent : busy_agents(state))
     {
-        auto const found = state.requests.lives.find(agent);
-        if (found == state.requests.lives.end())
+        auto const found = state.requests.peer_contacts.find(agent);
+        if (found == state.requests.peer_contacts.end())
         {
             continue;
         }
-        auto& life = found->second;
-        if (now - std::max(life.heard, life.probed) < probe_interval)
+        auto& contact = found->second;
+        if (now - std::max(contact.last_heard, contact.last_probed) <
+            probe_interval)
         {
             continue;
         }
-        life.probed = now;
+        contact.last_probed = now;
         out.push_back(core::send_message{agent, {}});
     }
 }
--- a/libs/entry_core/src/queue_flow.cpp
+++ b/libs/entry_core/src/queue_flow.cpp
@@ -1,17 +1,18 @@
 #include "flows.hpp"
 
-// Requests that wait for room. The load: more demand than endpoints, bursts,
-// and the seconds of a version or failure domain change.
+// Requests that wait for an endpoint with room. They arise when demand exceeds
+// the endpoints, in bursts, and in the seconds during which a version or a
+// failure domain changes.
 namespace foxtailvale::entry_core
 {
 
 namespace
 {
 
-// How long requests wait for an endpoint when none serves them: as long as a
-// restarted agent or an engine that changes its version takes to be heard
-// again. A model that nobody serves is refused at once.
-constexpr std::chrono::milliseconds unserved_patience{3000};
+// How long requests wait when no endpoint serves them: the time until a
+// restarted agent, or an engine that changes its version, is heard again.
+// Requests for a model that no endpoint has served are refused at once.
+constexpr std::chrono::milliseconds unservable_timeout{3000};
 
 std::string pool_name(caller_request const& request)
 {
@@ -20,7 +21,7 @@
 }
 
 request::waiting_request
-as_waiting(state const& state, open_request const& open)
+to_waiting_request(state const& state, open_request const& open)
 {
     request::waiting_request waiting;
     waiting.id = open.request.caller;
@@ -28,8 +29,8 @@
     waiting.deadline = open.deadline;
     auto const& declared = state.control.configuration.workspaces;
     auto const workspace = declared.find(open.request.workspace);
-    // Callers can make up names; all that were never declared share one line,
-    // or somebody could have a new share with each request.
+    // Callers can invent workspace names. All undeclared ones share one queue;
+    // otherwise a caller could get a new share with each request.
     if (workspace != declared.end())
     {
         waiting.workspace = open.request.workspace;
@@ -40,18 +41,18 @@
 
 bool may_wait(request_pool const& pool, base::time_point now)
 {
-    return pool.last_served && now - *pool.last_served < unserved_patience;
+    return pool.last_servable && now - *pool.last_servable < unservable_timeout;
 }
 
-void note_served(
+void note_servable(
     state const& state,
     request_pool& pool,
     open_request const& open,
     base::time_point now)
 {
-    if (is_served(state, open))
+    if (is_servable(state, open))
     {
-        pool.last_served = now;
+        pool.last_servable = now;
     }
 }
 
@@ -72,15 +73,15 @@
 void resume_streams(
     state& state, request_pool& pool, base::time_point now, actions& out)
 {
-    auto const waiting = pool.resuming;
+    auto const waiting = pool.resuming_streams;
     for (auto const caller : waiting)
     {
         auto& open = state.requests.open.at(caller);
         if (place(state, open, now, out))
         {
-            pool.resuming.erase(caller);
+            pool.resuming_streams.erase(caller);
         }
-        else if (!is_served(state, open))
+        else if (!is_servable(state, open))
         {
             end_with_error(
                 state, open,
@@ -97,7 +98,7 @@
     while (auto const waiting = request::next(pool.queue))
     {
         auto& open = state.requests.open.at(waiting->id);
-        note_served(state, pool, open, now);
+        note_servable(state, pool, open, now);
         if (!place(state, open, now, out))
         {
             return;
@@ -106,14 +107,15 @@
     }
 }
 
-// Nobody has served the pool for too long: all that wait are told at once.
-void refuse_unserved(
+// Refuses all queued requests of a pool that no endpoint has served for too
+// long.
+void refuse_unservable(
     state& state, request_pool& pool, base::time_point now, actions& out)
 {
     while (auto const waiting = request::next(pool.queue))
     {
         auto const& open = state.requests.open.at(waiting->id);
-        note_served(state, pool, open, now);
+        note_servable(state, pool, open, now);
         if (may_wait(pool, now))
         {
             return;
@@ -134,8 +136,9 @@
 {
     if (open.stage == request_stage::waiting)
     {
-        pool_of(state, open).resuming.erase(open.request.caller);
-        request::withdraw(pool_of(state, open).queue, as_waiting(state, open));
+        pool_of(state, open).resuming_streams.erase(open.request.caller);
+        request::withdraw(
+            pool_of(state, open).queue, to_waiting_request(state, open));
     }
 }
 
@@ -143,11 +146,11 @@
 {
     auto& pool = pool_of(state, open);
     open.stage = request_stage::waiting;
-    note_served(state, pool, open, now);
-    // Nobody overtakes those who wait.
+    note_servable(state, pool, open, now);
+    // Queued requests are not overtaken.
     if (pool.queue.size == 0 && place(state, open, now, out))
     {
-        request::start(pool.queue, as_waiting(state, open), now);
+        request::start(pool.queue, to_waiting_request(state, open), now);
         return;
     }
     if (!may_wait(pool, now))
@@ -156,33 +159,34 @@
             state, open, {base::error_kind::no_endpoint, {}}, now, out);
         return;
     }
-    auto const came = request::arrive(pool.queue, as_waiting(state, open), now);
-    if (came.pushed_out)
+    auto const admission =
+        request::arrive(pool.queue, to_waiting_request(state, open), now);
+    if (admission.pushed_out)
     {
         refuse_waiting(
-            state, *came.pushed_out, {base::error_kind::queue_full, {}}, now,
-            out);
+            state, *admission.pushed_out, {base::error_kind::queue_full, {}},
+            now, out);
     }
-    if (came.refused)
+    if (admission.refused)
     {
-        end_with_error(state, open, {*came.refused, {}}, now, out);
+        end_with_error(state, open, {*admission.refused, {}}, now, out);
     }
 }
 
-void readmit(
+void requeue(
     state& state, open_request& open, base::time_point now, actions& out)
 {
     auto& pool = pool_of(state, open);
     open.stage = request_stage::waiting;
     open.tried.clear();
-    note_served(state, pool, open, now);
+    note_servable(state, pool, open, now);
     if (!may_wait(pool, now))
     {
         end_with_error(
             state, open, {base::error_kind::no_endpoint, {}}, now, out);
         return;
     }
-    request::rejoin(pool.queue, as_waiting(state, open));
+    request::rejoin(pool.queue, to_waiting_request(state, open));
     serve_pool(state, pool, now, out);
 }
 
@@ -190,11 +194,11 @@
 {
     open.stage = request_stage::waiting;
     open.tried.clear();
-    if (!is_served(state, open))
+    if (!is_servable(state, open))
     {
         return false;
     }
-    pool_of(state, open).resuming.insert(open.request.caller);
+    pool_of(state, open).resuming_streams.insert(open.request.caller);
     return true;
 }
 
@@ -206,7 +210,8 @@
     }
 }
 
-void refuse_late(state& state, base::time_point now, actions& out)
+void refuse_unreachable_deadlines(
+    state& state, base::time_point now, actions& out)
 {
     for (auto& [name, pool] : state.requests.pools)
     {
@@ -216,7 +221,7 @@
                 state, caller, {base::error_kind::deadline_unreachable, {}},
                 now, out);
         }
-        refuse_unserved(state, pool, now, out);
+        refuse_unservable(state, pool, now, out);
     }
 }
 
--- a/libs/entry_core/src/readiness.cpp
+++ b/libs/entry_core/src/readiness.cpp
@@ -8,10 +8,10 @@
 namespace
 {
 
-// An entry that still knows no endpoint for some model or service after this
-// long is cut off or there is none; callers are then better served with what
-// it has than by one entry less.
-constexpr std::chrono::seconds longest_wait{5};
+// An entry becomes ready after this time although it knows no endpoint for some
+// model or service. By then it is cut off or there is no such endpoint, and
+// callers are better served with what it has than by one entry less.
+constexpr std::chrono::seconds max_wait{5};
 
 bool has_endpoint(state const& state, auto const& wanted)
 {
@@ -57,17 +57,18 @@
     {
         return;
     }
-    if (!readiness.configured)
+    if (!readiness.configured_at)
     {
-        readiness.configured = now;
+        readiness.configured_at = now;
     }
-    // Failure: a restarted entry has the configuration before it has heard
-    // from any agent; the balancer sends it callers and it turns each away
-    // with "no endpoint" although all endpoints are well. It is ready only
-    // when it knows an endpoint for each thing that callers may ask for. It
-    // stays ready after that: if endpoints go, no entry would do better.
+    // Failure: a restarted entry has the configuration before it has heard from
+    // any agent. If it were ready then, the load balancer would route callers
+    // to it, and it would refuse each with "no endpoint" although all endpoints
+    // are healthy. So it is ready only when it knows an endpoint for every
+    // model and service. It stays ready after that: when endpoints are lost, no
+    // other entry could serve the callers better.
     readiness.ready =
-        knows_endpoints(state) || now - *readiness.configured >= longest_wait;
+        knows_endpoints(state) || now - *readiness.configured_at >= max_wait;
 }
 
 } // namespace foxtailvale::entry_core
--- a/libs/entry_core/src/replication_flow.cpp
+++ b/libs/entry_core/src/replication_flow.cpp
@@ -13,31 +13,35 @@
 
 using std::chrono::milliseconds;
 
+// Interval between rounds of greetings. A greeting is a ConfigurationDigest,
+// which shows the versions that the sender has.
 constexpr milliseconds round_interval{1000};
 
-// Each entry of the domain hears each other one within this many rounds.
+// Each entry of the failure domain is greeted by each other one within this
+// many rounds.
 constexpr std::size_t rounds_per_sweep = 5;
 
-// Entries that are greeted each round at least.
-constexpr std::size_t least_greeted = 3;
+// Entries that are greeted in each round at least.
+constexpr std::size_t min_greetings_per_round = 3;
 
 // Rounds between two greetings of an agent that sends its heartbeats here, and
-// of one in another failure domain. An agent that restarts knows nobody until
-// it is greeted; later, its callers would wait for lost answers until their
-// deadlines.
-constexpr std::uint64_t listened_rounds = 1;
-constexpr std::uint64_t far_rounds = 5;
-
-// Heartbeats of agents in other failure domains: their load matters only when
-// the own domain has no room, and lines between regions are thin.
-constexpr milliseconds far_heartbeat{5000};
-
-// Whole digests are sent at most this often: a process that lags is greeted by
-// many peers at once and needs each document from one of them.
-constexpr milliseconds whole_digest_pause{200};
-
-// Heartbeats missed before silence is suspected, as a share of the interval.
-milliseconds patience_for(milliseconds interval)
+// of one in another failure domain. A restarted agent knows no entry until it
+// is greeted. If that took longer, callers whose answers it has lost would wait
+// for them until their deadlines.
+constexpr std::uint64_t heartbeat_agent_rounds = 1;
+constexpr std::uint64_t remote_agent_rounds = 5;
+
+// Heartbeat interval of agents in other failure domains. Their load matters
+// only when this failure domain has no room, and links between regions are
+// narrow.
+constexpr milliseconds remote_heartbeat_interval{5000};
+
+// Minimum interval between complete digests. A process that is behind is
+// greeted by many peers at once and needs each document from only one of them.
+constexpr milliseconds complete_digest_interval{200};
+
+// Silence after which a peer with this heartbeat interval is suspected.
+milliseconds silence_limit_for(milliseconds interval)
 {
     return interval * 7 / 2;
 }
@@ -63,7 +67,8 @@
     return message;
 }
 
-// Greets another entry and promises when it will be greeted again.
+// Greets another entry and announces the time until the next greeting; zero
+// announces none.
 void greet(
     state const& state,
     std::string const& peer,
@@ -76,6 +81,7 @@
     out.push_back(std::move(message));
 }
 
+// Greets an agent and subscribes to its heartbeats at this interval.
 void greet_agent(
     state const& state,
     std::string const& agent,
@@ -88,7 +94,7 @@
     out.push_back(std::move(message));
 }
 
-void send_whole_digest(
+void send_complete_digest(
     state const& state, std::string const& peer, bool answer, actions& out)
 {
     auto message = make_digest(state, peer);
@@ -112,10 +118,10 @@
     return message;
 }
 
-// Failure: an entry that is stopping still finishes requests for half a
-// minute, under the configuration of the moment at which it left the order. A
-// domain taken out meanwhile would go on getting its retries. So watchers tell
-// those that leave, too.
+// Failure: a stopping entry finishes requests for another half a minute, under
+// the configuration in force when it left the order. A failure domain that is
+// taken out in the meantime would continue to get this entry's retries. So
+// watchers push changes to leaving entries, too.
 void add_leaving_entries(state const& state, std::set<std::string>& targets)
 {
     for (auto const& [name, known] : state.control.members.members)
@@ -129,9 +135,10 @@
     }
 }
 
-// Pushes a change down the domain's tree and to the agents that this entry
-// reports. One that adopted it out of turn tells the root as well.
-void spread(
+// Pushes a change to this entry's children in the push tree of the failure
+// domain and to the agents that it reports. A watcher, which may adopt a change
+// before the root of the tree has it, sends it to the root as well.
+void disseminate(
     state const& state,
     core::send_message message,
     std::uint64_t seed,
@@ -143,7 +150,7 @@
     {
         return;
     }
-    std::set<std::string> targets = gossip.reported;
+    std::set<std::string> targets = gossip.reported_agents;
     auto const children = control::push_children(gossip.order, self, seed);
     targets.insert(children.begin(), children.end());
     if (is_watcher(state))
@@ -172,14 +179,14 @@
     }
     std::erase_if(
         state.control.previous_digests,
-        [&next](auto const& entry)
+        [&next](auto const& item)
         {
-            return !next.models.contains(entry.first);
+            return !next.models.contains(item.first);
         });
 }
 
-// Pushes every plan that the sender of a whole digest lacks; tells whether the
-// sender has newer ones.
+// Pushes every plan that the sender of a complete digest lacks. Returns whether
+// the sender has newer plans.
 bool push_missing_plans(
     state const& state,
     std::string const& peer,
@@ -207,8 +214,9 @@
         });
 }
 
-// Notes that an entry spoke, and tells a new life of it all it needs.
-void note_entry(
+// Records that an entry was heard from. One that has restarted or come back
+// gets the complete state of the endpoints that this entry reports.
+void note_entry_digest(
     state& state,
     core::message_received const& message,
     base::time_point now,
@@ -224,30 +232,32 @@
         return;
     }
     auto& known = found->second;
-    // Entries elsewhere are greeted in turn; their silence says nothing.
+    // Entries of other failure domains are greeted in turn, so their silence
+    // shows nothing.
     if (known.vm.failure_domain != state.self.failure_domain)
     {
         return;
     }
     auto const is_back = known.state != control::liveness::alive;
     control::note_heartbeat(state.control.members, peer, false, now);
-    // Failure: two entries see each other at different places in the order,
-    // so one waits for greetings every second that the other sends every five,
-    // suspects it, takes its place as a watcher and so on round the domain.
-    // The sender's promise holds whatever the receiver thinks of the order.
+    // Failure: two entries see each other at different places in the order. One
+    // expects every second the greetings that the other sends every five,
+    // suspects it and takes its place as a watcher, and the same repeats
+    // through the failure domain. So the interval that the sender announces
+    // applies, whatever order the receiver sees.
     if (digest.heartbeat_ms() > 0)
     {
-        known.patience = patience_for(milliseconds(digest.heartbeat_ms()));
+        known.patience = silence_limit_for(milliseconds(digest.heartbeat_ms()));
     }
-    auto& life = gossip.lives[peer];
-    if (life != incarnation || is_back)
+    auto& known_incarnation = gossip.entry_incarnations[peer];
+    if (known_incarnation != incarnation || is_back)
     {
-        report_whole(state, peer, out);
+        report_all_endpoints(state, peer, out);
     }
-    life = incarnation;
+    known_incarnation = incarnation;
 }
 
-void settle_differences(
+void reconcile(
     state& state,
     std::string const& peer,
     wire::ConfigurationDigest const& digest,
@@ -261,14 +271,14 @@
     }
     if (digest.list_version() < control.members.list_version)
     {
-        push_whole_list(state, peer, out);
+        push_complete_list(state, peer, out);
     }
     if (digest.whole())
     {
         auto const behind = push_missing_plans(state, peer, digest, out);
         if (behind && !digest.answer())
         {
-            send_whole_digest(state, peer, true, out);
+            send_complete_digest(state, peer, true, out);
         }
         return;
     }
@@ -276,10 +286,11 @@
         digest.generation() > control.configuration.generation ||
         digest.list_version() > control.members.list_version ||
         digest.plans_hash() != plans_hash(state);
-    if (differs && now - control.gossip.last_whole_digest >= whole_digest_pause)
+    if (differs &&
+        now - control.gossip.last_complete_digest >= complete_digest_interval)
     {
-        control.gossip.last_whole_digest = now;
-        send_whole_digest(state, peer, false, out);
+        control.gossip.last_complete_digest = now;
+        send_complete_digest(state, peer, false, out);
     }
 }
 
@@ -289,7 +300,7 @@
     auto const& self = state.self.name;
     auto const& order = gossip.order;
     auto const share = std::max(
-        least_greeted,
+        min_greetings_per_round,
         (order.size() + rounds_per_sweep - 1) / rounds_per_sweep);
     auto const rounds = (order.size() + share - 1) / share;
     std::map<std::string, milliseconds> greeted;
@@ -314,8 +325,8 @@
     }
 }
 
-// Suspected entries are greeted too, one a round: nobody else would find that
-// they are back.
+// Greets one suspected or unheard entry each round. No other greeting would
+// discover that it is back.
 void greet_suspected(state& state, actions& out)
 {
     std::vector<std::string> suspected;
@@ -337,9 +348,9 @@
     }
 }
 
-// Each round one entry of each other failure domain, so that a domain that was
-// cut off has the news within two seconds of the cut's end, with or without
-// the platform.
+// Greets one entry of each other failure domain each round, so that a domain
+// that was cut off has the changes within two seconds after the cut ends, with
+// or without the platform.
 void greet_domains(state& state, actions& out)
 {
     if (!is_watcher(state))
@@ -401,17 +412,17 @@
     base::time_point now,
     actions& out)
 {
-    // Failure: after an outage the platform answers with an older version
-    // than peers have shown, or a peer that was cut off pushes what it has.
-    // Adopted, an accepted configuration would revert. The generation only
-    // grows, so comparing it holds for any order of arrival.
+    // Failure: after an outage the platform answers with an older version than
+    // peers have sent, or a peer that was cut off pushes its older version. If
+    // that were adopted, an accepted configuration would revert. The generation
+    // only grows, so comparing it is correct for any order of arrival.
     if (next.generation <= state.control.configuration.generation)
     {
         return;
     }
     keep_previous_digests(state, next);
     state.control.configuration = std::move(next);
-    state.control.gossip.adopted = now;
+    state.control.gossip.adopted_at = now;
     auto const generation = state.control.configuration.generation;
     out.push_back(core::write_log{
         kernel::event_id::configuration_adopted, {{"generation", generation}}});
@@ -419,7 +430,7 @@
     auto* const push = message.envelope.mutable_configuration_push();
     push->set_generation(generation);
     push->set_document(to_text(state.control.configuration));
-    spread(state, std::move(message), generation, out);
+    disseminate(state, std::move(message), generation, out);
 }
 
 void adopt_plan(state& state, control::domain_plan plan, actions& out)
@@ -436,10 +447,11 @@
     state.control.plans[domain] = std::move(plan);
     if (domain != state.self.failure_domain)
     {
-        // Which endpoints there may get work depends on the plan.
+        // The plan determines which endpoints of that failure domain may get
+        // requests.
         state.control.gossip.topology_stale = true;
     }
-    spread(state, std::move(message), version, out);
+    disseminate(state, std::move(message), version, out);
 }
 
 void on_configuration_push(
@@ -484,8 +496,8 @@
     auto& control = state.control;
     auto const& digest = message.envelope.configuration_digest();
     auto const found = control.members.members.find(message.peer);
-    // A process that knows no list yet cannot tell who is a member; it takes
-    // what it is given, upwards only.
+    // Without a list of VMs a process cannot tell who is a member. It then
+    // takes updates from any peer, though only to higher versions.
     if (found == control.members.members.end() &&
         control.members.list_version > 0)
     {
@@ -495,8 +507,8 @@
                           found->second.vm.role == control::vm_role::entry;
     if (is_entry)
     {
-        note_entry(state, message, now, out);
-        settle_differences(state, message.peer, digest, now, out);
+        note_entry_digest(state, message, now, out);
+        reconcile(state, message.peer, digest, now, out);
         return;
     }
     if (digest.generation() < control.configuration.generation)
@@ -506,7 +518,7 @@
     push_missing_plans(state, message.peer, digest, out);
 }
 
-void say_hello(state& state, base::time_point now, actions& out)
+void send_greetings(state& state, base::time_point now, actions& out)
 {
     auto& gossip = state.control.gossip;
     if (now - gossip.last_round < round_interval)
@@ -515,7 +527,8 @@
     }
     gossip.last_round = now;
     ++gossip.round;
-    // One that leaves has said so; a greeting would take it back.
+    // A stopping entry has announced that it leaves; a greeting would revoke
+    // that.
     if (!state.control.stopping)
     {
         greet_entries(state, out);
@@ -523,9 +536,11 @@
         greet_domains(state, out);
     }
     greet_agents(
-        state, gossip.listened, listened_rounds, control::heartbeat_interval,
-        out);
-    greet_agents(state, gossip.far, far_rounds, far_heartbeat, out);
+        state, gossip.heartbeat_agents, heartbeat_agent_rounds,
+        control::heartbeat_interval, out);
+    greet_agents(
+        state, gossip.remote_agents, remote_agent_rounds,
+        remote_heartbeat_interval, out);
 }
 
 } // namespace foxtailvale::entry_core
--- a/libs/entry_core/src/request_end.cpp
+++ b/libs/entry_core/src/request_end.cpp
@@ -2,7 +2,7 @@
 
 #include <core/wire_ids.hpp>
 
-// The ways a request ends.
+// Ends requests, with or without an error for the caller.
 namespace foxtailvale::entry_core
 {
 
@@ -16,7 +16,7 @@
            open.stage == request_stage::reading_back;
 }
 
-void give_slot_back(open_request const& open, actions& out)
+void return_slot(open_request const& open, actions& out)
 {
     core::send_message message{open.agent, {}};
     core::to_wire(
@@ -44,7 +44,7 @@
     out.push_back(std::move(message));
 }
 
-void close(
+void close_request(
     state& state, caller_handle caller, base::time_point now, actions& out)
 {
     auto const found = state.requests.open.find(caller);
@@ -52,7 +52,7 @@
     leave_queue(state, open);
     if (holds_slot(open))
     {
-        give_slot_back(open, out);
+        return_slot(open, out);
     }
     auto const not_run = open.stage != request_stage::running;
     if (open.claim && open.claim->held && not_run)
@@ -77,9 +77,9 @@
     actions& out)
 {
     auto const request = open.request;
-    auto const told = open.detached;
-    close(state, request.caller, now, out);
-    if (!told)
+    auto const was_detached = open.detached;
+    close_request(state, request.caller, now, out);
+    if (!was_detached)
     {
         refuse_caller(request, std::move(error), out);
     }
--- a/libs/entry_core/src/request_flow.cpp
+++ b/libs/entry_core/src/request_flow.cpp
@@ -8,12 +8,13 @@
 
 using std::chrono::milliseconds;
 
-// How long a call whose caller has gone, or whose deadline has passed, is
-// still waited for, so that its outcome reaches the claim. The endpoint's own
-// call ends with the deadline; the rest is for the way back.
-constexpr milliseconds settle_length{5000};
+// Time for which a call whose caller has disconnected, or whose deadline has
+// passed, stays open so that its outcome can be recorded in the claim. The
+// endpoint's own call ends at the deadline; this time is for the answer's way
+// back.
+constexpr milliseconds outcome_grace_period{5000};
 
-// Why a request cannot be taken at all, if so.
+// The error if a request cannot be accepted at all.
 std::optional<base::error>
 refusal(state const& state, caller_request const& request)
 {
@@ -37,16 +38,17 @@
     {
         return base::error{error_kind::unknown_service, request.service};
     }
-    if (state.requests.open.size() >= state.self.most_requests)
+    if (state.requests.open.size() >= state.self.max_requests)
     {
         return base::error{error_kind::queue_full, {}};
     }
     return std::nullopt;
 }
 
-// A generated answer may be generated again; of a service's calls those that
-// only read, or all when the release says so.
-bool may_repeat(state const& state, caller_request const& request)
+// Whether a request may run more than once. A model's answer may be generated
+// again; of a service's calls those may run again that only read, or all if the
+// release says so.
+bool is_idempotent(state const& state, caller_request const& request)
 {
     if (!request.model.empty() || request.method == "GET")
     {
@@ -56,26 +58,27 @@
     return services.at(request.service).repeatable;
 }
 
-// The body was sent and the outcome is to be recorded although nobody waits.
-void detach(open_request& open, base::time_point now, milliseconds settle)
+// Keeps a request open without its caller: the body was sent and the outcome
+// must still be recorded.
+void detach(open_request& open, base::time_point now, milliseconds grace_period)
 {
     open.detached = true;
-    open.deadline = now + settle;
+    open.deadline = now + grace_period;
 }
 
-bool outcome_is_wanted(open_request const& open)
+bool must_record_outcome(open_request const& open)
 {
     return open.stage == request_stage::running && open.claim && !open.detached;
 }
 
-// What a caller is told whose deadline passed at this stage.
-base::error late_error(request_stage stage)
+// The error for a caller whose deadline passed at this stage.
+base::error deadline_error(request_stage stage)
 {
     switch (stage)
     {
     case request_stage::running:
         return {base::error_kind::deadline_passed, {}};
-    case request_stage::asking_outcome:
+    case request_stage::querying_outcome:
         return {base::error_kind::outcome_unknown, "its agent is silent"};
     case request_stage::reading_claim:
     case request_stage::writing_claim:
@@ -88,39 +91,39 @@
 
 } // namespace
 
-void end_late(
+void end_past_deadline(
     state& state, open_request& open, base::time_point now, actions& out)
 {
     if (open.detached)
     {
-        close(state, open.request.caller, now, out);
+        close_request(state, open.request.caller, now, out);
         return;
     }
-    if (outcome_is_wanted(open))
+    if (must_record_outcome(open))
     {
         refuse_caller(
             open.request, {base::error_kind::deadline_passed, {}}, out);
-        detach(open, now, settle_length);
+        detach(open, now, outcome_grace_period);
         return;
     }
     if (open.stage == request_stage::running && open.request.idempotent)
     {
         cancel_attempt(open, out);
     }
-    end_with_error(state, open, late_error(open.stage), now, out);
+    end_with_error(state, open, deadline_error(open.stage), now, out);
 }
 
 namespace
 {
 
-// A gate or an agent did not answer in its time.
-void end_stage(
+// Handles a gate or an agent that did not answer in time.
+void on_stage_timeout(
     state& state, open_request& open, base::time_point now, actions& out)
 {
-    open.stage_end.reset();
-    if (open.stage == request_stage::asking_outcome)
+    open.stage_deadline.reset();
+    if (open.stage == request_stage::querying_outcome)
     {
-        end_with_error(state, open, late_error(open.stage), now, out);
+        end_with_error(state, open, deadline_error(open.stage), now, out);
         return;
     }
     attempt_failed(
@@ -152,7 +155,7 @@
     open_request open;
     open.fingerprint = fingerprint;
     open.request = request;
-    open.request.idempotent = may_repeat(state, request);
+    open.request.idempotent = is_idempotent(state, request);
     open.generation = state.control.configuration.generation;
     open.deadline = now + request.time_left;
     auto& added = state.requests.open.emplace(request.caller, std::move(open))
@@ -165,10 +168,13 @@
     admit(state, added, now, out);
 }
 
-void on_caller_left(
-    state& state, caller_disconnected const& left, base::time_point now, actions& out)
+void on_caller_disconnected(
+    state& state,
+    caller_disconnected const& disconnected,
+    base::time_point now,
+    actions& out)
 {
-    auto const found = state.requests.open.find(left.caller);
+    auto const found = state.requests.open.find(disconnected.caller);
     if (found == state.requests.open.end())
     {
         return;
@@ -177,56 +183,57 @@
     out.push_back(core::report_error{
         {base::error_kind::caller_gone, {}},
         {{"request", open.request.request_id}}});
-    // Failure: the line drops while a booking runs and the caller sends it
-    // again. Its claim must then hold the answer, so the call is left to end.
-    if (outcome_is_wanted(open))
+    // Failure: the caller's connection drops while a booking runs, and the
+    // caller sends it again. The claim must then hold the answer, so the call
+    // is left to finish.
+    if (must_record_outcome(open))
     {
         detach(
             open, now,
             open.deadline - now > milliseconds(0)
                 ? std::chrono::duration_cast<milliseconds>(
                       open.deadline - now) +
-                      settle_length
-                : settle_length);
+                      outcome_grace_period
+                : outcome_grace_period);
         return;
     }
     if (open.stage == request_stage::running && open.request.idempotent)
     {
         cancel_attempt(open, out);
     }
-    close(state, left.caller, now, out);
+    close_request(state, disconnected.caller, now, out);
 }
 
 void on_request_tick(state& state, base::time_point now, actions& out)
 {
-    std::vector<caller_handle> late;
+    std::vector<caller_handle> expired;
     std::vector<caller_handle> stage_ended;
     for (auto const& [caller, open] : state.requests.open)
     {
         if (now >= open.deadline)
         {
-            late.push_back(caller);
+            expired.push_back(caller);
         }
-        else if (open.stage_end && now >= *open.stage_end)
+        else if (open.stage_deadline && now >= *open.stage_deadline)
         {
             stage_ended.push_back(caller);
         }
     }
-    for (auto const caller : late)
+    for (auto const caller : expired)
     {
-        end_late(state, state.requests.open.at(caller), now, out);
+        end_past_deadline(state, state.requests.open.at(caller), now, out);
     }
     for (auto const caller : stage_ended)
     {
         auto const open = state.requests.open.find(caller);
         if (open != state.requests.open.end())
         {
-            end_stage(state, open->second, now, out);
+            on_stage_timeout(state, open->second, now, out);
         }
     }
-    probe_silent_agents(state, now, out);
+    probe_unresponsive_agents(state, now, out);
     request::expire(state.requests.suspects, now);
-    refuse_late(state, now, out);
+    refuse_unreachable_deadlines(state, now, out);
     serve_waiting(state, now, out);
     on_closing_tick(state, now, out);
 }
--- a/libs/entry_core/src/suspect_flow.cpp
+++ b/libs/entry_core/src/suspect_flow.cpp
@@ -2,7 +2,7 @@
 
 #include <base/digest.hpp>
 
-// Requests that crash endpoints: learnt from the agents, refused here.
+// Requests that crash endpoints: reported by agents, refused by this entry.
 namespace foxtailvale::entry_core
 {
 
@@ -36,7 +36,7 @@
     }
 }
 
-void release_here(state& state, request::fingerprint suspect, actions& out)
+void release_locally(state& state, request::fingerprint suspect, actions& out)
 {
     if (request::release(state.requests.suspects, suspect))
     {
@@ -60,12 +60,12 @@
 {
     if (notice.released())
     {
-        release_here(state, notice.fingerprint(), out);
+        release_locally(state, notice.fingerprint(), out);
         return;
     }
-    auto const turned = request::note_crash(
+    auto const became_suspect = request::note_crash(
         state.requests.suspects, notice.fingerprint(), notice.endpoint(), now);
-    if (!turned)
+    if (!became_suspect)
     {
         return;
     }
@@ -79,8 +79,8 @@
 void on_release_suspect(
     state& state, release_suspect const& order, actions& out)
 {
-    release_here(state, order.fingerprint, out);
-    // Agents pass it on to every entry that listens to them.
+    release_locally(state, order.fingerprint, out);
+    // Agents forward the notice to every entry that receives their heartbeats.
     for (auto const& agent : state.control.connected)
     {
         core::send_message message{agent, {}};
--- a/libs/entry_core/tests/control_failure_tests.cpp
+++ b/libs/entry_core/tests/control_failure_tests.cpp
@@ -15,11 +15,13 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-// A domain that was cut off has the news within this long of the cut's end.
+// A failure domain that was cut off has the changes within this time after the
+// cut ends.
 constexpr milliseconds heal_limit{2000};
 constexpr milliseconds in_force_limit{4000};
 
-// Two failure domains of three entries and four agents each, in force.
+// Two failure domains, by default of three entries and four agents each, with
+// the first configuration in force.
 control_rig make_rig(int entries = 3, int agents = 4)
 {
     control_rig rig;
@@ -59,7 +61,7 @@
     return versions;
 }
 
-bool is_rising(std::vector<std::uint64_t> const& versions)
+bool is_strictly_increasing(std::vector<std::uint64_t> const& versions)
 {
     return std::ranges::adjacent_find(versions, std::greater_equal<>()) ==
            versions.end();
@@ -67,12 +69,13 @@
 
 } // namespace
 
-// The whole path without a failure, so that the failures below start from
-// something that works: note accepted, in force on all, planned, heard.
+// The complete path without a failure, as a baseline for the failures below:
+// the configuration is accepted, in force everywhere and planned, and all
+// agents are heard.
 TEST(control_failures, without_a_failure_all_is_in_force)
 {
     auto rig = make_rig();
-    EXPECT_TRUE(rig.all_have(1));
+    EXPECT_TRUE(rig.all_have_generation(1));
     for (auto const& [name, entry] : rig.entries)
     {
         EXPECT_EQ(entry.control.plans.size(), 2U) << name;
@@ -91,15 +94,16 @@
         rig.run_until(
             [&rig]
             {
-                return rig.all_have(2);
+                return rig.all_have_generation(2);
             },
             in_force_limit),
         in_force_limit);
 }
 
-// The platform counts each call and its rates grow more slowly than the fleet.
-// Were each process to call it, four times the fleet would make four times the
-// calls and the platform would refuse claims, which are bookings refused.
+// Failure: each process calls the platform, so that four times the fleet makes
+// four times the calls. The platform's call rates grow more slowly than the
+// fleet; it would refuse writes of claims, and bookings would be refused with
+// them.
 TEST(control_failures, calls_do_not_grow_with_entries_or_agents)
 {
     auto const calls_in_a_minute = [](int entries, int agents)
@@ -114,19 +118,19 @@
     EXPECT_NEAR(
         static_cast<double>(large), static_cast<double>(small),
         static_cast<double>(small) / 10);
-    // Two domains with two watchers each.
+    // Two failure domains with two watchers each.
     EXPECT_LT(small, 60U * 8U);
 }
 
-// The platform's store is down for ten minutes. Callers must notice nothing:
-// the configuration and the endpoints stay as they are, nobody is suspected
-// for it, and a change accepted right after it is back is soon in force.
+// The platform's store is down for ten minutes. Callers must not notice: the
+// configuration and the endpoints stay as they are, no member is suspected
+// because of it, and a change accepted right after the outage is soon in force.
 TEST(control_failures, store_down_for_ten_minutes)
 {
     auto rig = make_rig();
     rig.platform.down = true;
     rig.run_for(minutes(10));
-    EXPECT_TRUE(rig.all_have(1));
+    EXPECT_TRUE(rig.all_have_generation(1));
     for (auto const& [name, entry] : rig.entries)
     {
         EXPECT_EQ(entry.control.endpoints.size(), 8U);
@@ -137,28 +141,30 @@
         rig.run_until(
             [&rig]
             {
-                return rig.all_have(2);
+                return rig.all_have_generation(2);
             },
             in_force_limit),
         in_force_limit);
     EXPECT_TRUE(rig.reverts.empty());
-    EXPECT_TRUE(is_rising(plan_versions(rig, "split-a")));
+    EXPECT_TRUE(is_strictly_increasing(plan_versions(rig, "split-a")));
 }
 
-// After an outage the platform answers from an old copy. An entry is replaced
-// at that moment; trusting the copy it would bring a withdrawn configuration
-// back for its callers. Its peers know better and answer first.
+// Failure: after an outage the platform answers from an old copy while an entry
+// is restarted. If the entry trusted the copy, a withdrawn configuration would
+// be in force again for its callers. Its peers have the current one and must be
+// heard first.
 TEST(control_failures, a_restarted_entry_asks_its_peers_first)
 {
     auto rig = make_rig();
     rig.platform.stale[core::release_path] =
         rig.platform.objects[core::release_path];
     rig.accept(2);
-    // The others learned of 2 before the copy was put in place.
+    // The other entries learn of generation 2 before the old copy is put in
+    // place.
     auto const old = rig.platform.stale;
     rig.platform.stale.clear();
     rig.run_for(seconds(2));
-    ASSERT_TRUE(rig.all_have(2));
+    ASSERT_TRUE(rig.all_have_generation(2));
     rig.platform.stale = old;
     auto const name = rig.watchers("split-a").front();
     rig.restart_entry(name);
@@ -171,9 +177,10 @@
     EXPECT_EQ(seen, (std::set<std::uint64_t>{0, 2}));
 }
 
-// The whole domain's entries are replaced while the platform is down. Without
-// a list or a configuration they would refuse every caller until it is back;
-// the other domain's entries know both and still greet them.
+// Failure: all entries of a failure domain are restarted while the platform is
+// down. Without a list of VMs or a configuration they would refuse every caller
+// until it is back. The entries of the other failure domain have both and still
+// greet them.
 TEST(control_failures, all_entries_restart_during_an_outage)
 {
     auto rig = make_rig();
@@ -187,7 +194,7 @@
         rig.run_until(
             [&rig]
             {
-                return rig.all_have(1);
+                return rig.all_have_generation(1);
             },
             seconds(10)),
         seconds(10));
@@ -200,9 +207,9 @@
     }
 }
 
-// The planner's VM stops for 20 seconds, as a paused machine does, and then
-// goes on where it was, believing that it holds the lease. If its late plan
-// were obeyed, endpoints would be ordered back and forth by two planners.
+// Failure: the planner's VM is paused for 20 seconds and then continues in the
+// belief that it holds the lease. If its late plan were obeyed, two planners
+// would give the endpoints conflicting orders in turn.
 TEST(control_failures, a_paused_planner_wakes_after_its_lease)
 {
     auto rig = make_rig();
@@ -217,9 +224,9 @@
     rig.run_for(seconds(2));
     rig.paused.erase(first);
     rig.run_for(seconds(10));
-    EXPECT_TRUE(is_rising(plan_versions(rig, "split-a")));
-    EXPECT_TRUE(rig.all_have(2));
-    // One truth: every agent has the plan that the platform has.
+    EXPECT_TRUE(is_strictly_increasing(plan_versions(rig, "split-a")));
+    EXPECT_TRUE(rig.all_have_generation(2));
+    // Every agent has the plan that the platform has.
     auto const versions = plan_versions(rig, "split-a");
     for (auto const& [name, agent] : rig.agents)
     {
@@ -228,9 +235,10 @@
     }
 }
 
-// The answer to a plan's write is lost after the write took effect. Written
-// again blindly, the planner would lose against its own write for ever and the
-// new model would never start; reading back settles it.
+// Failure: the answer to the write of a plan is lost after the write took
+// effect. If the planner repeated the write blindly, it would conflict with its
+// own write for ever and the new model would never start. So it must read the
+// plan back.
 TEST(control_failures, an_answer_to_a_plan_write_is_lost)
 {
     auto rig = make_rig();
@@ -238,15 +246,16 @@
     rig.accept(2, 3);
     rig.run_for(seconds(20));
     auto const versions = plan_versions(rig, "split-a");
-    EXPECT_TRUE(is_rising(versions));
+    EXPECT_TRUE(is_strictly_increasing(versions));
     auto const& plan = rig.entries["split-a-entry-1"].control.plans["split-a"];
     EXPECT_EQ(plan.generation, 2U);
     EXPECT_EQ(plan.version, versions.back());
     EXPECT_FALSE(rig.planner("split-a").empty());
 }
 
-// A domain loses the platform but not the other domain. Operators change the
-// configuration; callers there must see it as soon as everyone else.
+// A failure domain loses the platform but not the other failure domain. A
+// change of the configuration must be in force there as soon as everywhere
+// else.
 TEST(control_failures, a_domain_without_the_platform_hears_from_the_other)
 {
     auto rig = make_rig();
@@ -257,15 +266,15 @@
         rig.run_until(
             [&rig]
             {
-                return rig.all_have(2);
+                return rig.all_have_generation(2);
             },
             in_force_limit),
         in_force_limit);
 }
 
-// A domain is cut off from everything for five minutes, in which operators
-// accept two changes, and both sides go on planning. After the cut it must
-// catch up within two seconds and never show the older configuration again.
+// A failure domain is cut off from everything for five minutes, in which two
+// changes are accepted and both sides continue planning. After the cut ends it
+// must catch up within two seconds and never return to the older configuration.
 TEST(control_failures, a_cut_off_domain_catches_up)
 {
     auto rig = make_rig();
@@ -281,7 +290,7 @@
         auto const is_cut_off = agent.self.failure_domain == "split-a";
         EXPECT_EQ(agent.control.configuration.generation, is_cut_off ? 1U : 3U);
     }
-    // Inside, all endpoints stayed in use.
+    // Within the failure domain, all endpoints stayed in use.
     for (int number = 1; number <= 4; ++number)
     {
         EXPECT_EQ(
@@ -296,17 +305,18 @@
         rig.run_until(
             [&rig]
             {
-                return rig.all_have(3);
+                return rig.all_have_generation(3);
             },
             seconds(10)),
         heal_limit);
     EXPECT_TRUE(rig.reverts.empty());
     rig.run_for(seconds(10));
-    EXPECT_TRUE(is_rising(plan_versions(rig, "split-a")));
+    EXPECT_TRUE(is_strictly_increasing(plan_versions(rig, "split-a")));
 }
 
-// The line from an agent to the entry that reports it is cut one way. If the
-// report were believed alone, the whole domain would lose a healthy endpoint.
+// Failure: the link from an agent to the entry that reports it is cut in one
+// direction. If that report alone were believed, the complete failure domain
+// would lose a healthy endpoint.
 TEST(control_failures, one_way_cut_between_an_agent_and_its_reporter)
 {
     auto rig = make_rig(5, 4);
@@ -314,7 +324,7 @@
     std::string reporter;
     for (auto const& [name, entry] : rig.entries)
     {
-        if (entry.control.gossip.reported.contains(agent))
+        if (entry.control.gossip.reported_agents.contains(agent))
         {
             reporter = name;
         }
@@ -335,8 +345,8 @@
     EXPECT_EQ(alive, 4);
 }
 
-// A watcher's VM dies without a word. Until another entry watches in its place
-// the domain hangs on one watch alone.
+// A watcher's VM dies without announcing it. Another entry must take its place;
+// until then the failure domain depends on a single watch.
 TEST(control_failures, a_dead_watcher_is_succeeded)
 {
     auto rig = make_rig();
@@ -345,8 +355,8 @@
     EXPECT_EQ(rig.watchers("split-a").size(), 2U);
 }
 
-// A VM dies while the list shows it for another minute. New work must stop
-// going there within seconds on every entry, and its replicas are planned
+// A VM dies while the list shows it for another minute. Every entry must stop
+// sending it new work within seconds, and its replicas must be planned
 // elsewhere, without waiting for the list.
 TEST(control_failures, the_list_lags_a_minute_behind_a_death)
 {
@@ -366,28 +376,30 @@
     }
 }
 
-// An agent announces that it leaves. Entries that do not hear it at first hand
-// would go on sending new work there for as long as the list lags.
+// Failure: an agent announces that it leaves, and entries that do not receive
+// its heartbeats themselves keep sending new work there for as long as the list
+// lags.
 TEST(control_failures, a_leaving_agent_is_known_everywhere_within_two_seconds)
 {
     auto rig = make_rig(5, 4);
-    std::string const leaver = "split-a-agent-2";
-    rig.agents[leaver].control.stopping = true;
-    rig.agents[leaver].requests.gate.leaving = true;
-    rig.agents[leaver].control.has_news = true;
+    std::string const leaving_name = "split-a-agent-2";
+    rig.agents[leaving_name].control.stopping = true;
+    rig.agents[leaving_name].requests.gate.leaving = true;
+    rig.agents[leaving_name].control.has_news = true;
     rig.run_for(seconds(2));
     for (auto const& [name, entry] : rig.entries)
     {
         if (entry.self.failure_domain == "split-a")
         {
-            EXPECT_TRUE(entry.control.endpoints.at(leaver).leaving) << name;
+            EXPECT_TRUE(entry.control.endpoints.at(leaving_name).leaving)
+                << name;
         }
     }
 }
 
-// A process is stopped for an hour and its machine's clock with it, then goes
-// on. All its leases and its view of peers are old; it must not order anything
-// by them.
+// All processes are paused while time advances by an hour, and then continue.
+// Their leases and their views of peers are out of date, and they must not give
+// any orders based on them.
 TEST(control_failures, time_jumps_ahead_by_an_hour)
 {
     auto rig = make_rig();
@@ -397,38 +409,40 @@
     EXPECT_TRUE(rig.planner("split-a").empty());
     rig.run_for(seconds(15));
     EXPECT_FALSE(rig.planner("split-a").empty());
-    EXPECT_TRUE(is_rising(plan_versions(rig, "split-a")));
-    EXPECT_TRUE(rig.all_have(1));
+    EXPECT_TRUE(is_strictly_increasing(plan_versions(rig, "split-a")));
+    EXPECT_TRUE(rig.all_have_generation(1));
     EXPECT_FALSE(first.empty());
     EXPECT_FALSE(before.empty());
 }
 
-// An entry is stopped and still finishes long answers when operators accept a
-// change. Left out of the pushes, it would go on under the older one.
+// Failure: an entry is stopped and still finishes long answers when a change is
+// accepted. If it were left out of the pushes, it would continue under the
+// older configuration.
 TEST(control_failures, a_leaving_entry_still_gets_changes)
 {
     auto rig = make_rig(5, 4);
-    // The last in the order, whom no other domain's entry greets.
-    auto const leaver =
+    // The last entry in the order, which no entry of the other failure domain
+    // greets.
+    auto const leaving_name =
         rig.entries["split-a-entry-1"].control.gossip.order.back();
-    // The platform, which it might turn to by itself, does not answer it.
-    rig.cut(leaver, "");
-    rig.stop_entry(leaver);
+    // It cannot read the change from the platform either.
+    rig.cut(leaving_name, "");
+    rig.stop_entry(leaving_name);
     rig.run_for(seconds(1));
     rig.accept(2);
     EXPECT_LT(
         rig.run_until(
             [&rig]
             {
-                return rig.all_have(2);
+                return rig.all_have_generation(2);
             },
             in_force_limit),
         in_force_limit);
 }
 
-// A VM is silent for ten seconds, time and again. Were its replicas moved each
-// time, other VMs would load weights and drop them again all day, and the
-// narrow lines would carry nothing else.
+// Failure: a VM is unresponsive for ten seconds again and again, and its
+// replicas are moved each time. Other VMs would load and drop weights all day,
+// and the narrow links would carry nothing else.
 TEST(control_failures, a_flapping_agent_keeps_its_replicas)
 {
     auto rig = make_rig();
@@ -443,8 +457,9 @@
     EXPECT_EQ(plan_versions(rig, "split-a").size(), before);
 }
 
-// A VM dies for good while the list still shows it. Its replicas must be
-// planned on another one without an operator, or the model stays short of one.
+// A VM dies permanently while the list still shows it. Its replicas must be
+// planned on another VM without an operator; otherwise the model remains short
+// of a replica.
 TEST(control_failures, replicas_of_a_dead_agent_move_in_time)
 {
     auto rig = make_rig();
@@ -470,9 +485,10 @@
     EXPECT_FALSE(holders().contains(dead));
 }
 
-// All entries of a domain are replaced at once while an agent is cut off for a
-// moment. The new planner has never heard it; planning for those it has heard
-// only, it would order that engine to drop its model and load it again later.
+// Failure: all entries of a failure domain are restarted at once while an agent
+// is briefly cut off, so the new planner has never heard from it. If it planned
+// only for agents it has heard from, it would order that engine to drop its
+// model and load it again later.
 TEST(control_failures, a_new_planner_moves_nothing)
 {
     auto rig = make_rig();
--- a/libs/entry_core/tests/control_flow_tests.cpp
+++ b/libs/entry_core/tests/control_flow_tests.cpp
@@ -11,9 +11,9 @@
 std::uint64_t
 call_id(std::vector<action> const& actions, core::platform_method method)
 {
-    for (auto const& ordered : actions)
+    for (auto const& emitted : actions)
     {
-        auto const* const call = std::get_if<core::platform_call>(&ordered);
+        auto const* const call = std::get_if<core::platform_call>(&emitted);
         if (call != nullptr && call->method == method)
         {
             return call->id;
@@ -36,37 +36,37 @@
 
 } // namespace
 
-// The platform comes back from an outage and answers one read with an older
-// version. Operators would see an accepted configuration revert; the entry
-// keeps the newer one.
+// Failure: after an outage the platform answers one read with an older version,
+// and an accepted configuration reverts. The entry must keep the newer one.
 TEST(entry_control, an_older_configuration_never_comes_back)
 {
     state entry;
     entry.self = {"entry-1", "split-a", "dalmacija", 100};
-    entry.control.gossip.listed_since =
+    entry.control.gossip.peers_known_since =
         base::time_point{} - std::chrono::minutes(1);
     entry.control.members.list_version = 1;
     base::time_point now{};
     auto const first = step(entry, core::tick{}, now);
-    auto const watch = call_id(first, core::platform_method::watch);
-    step(entry, release_answer(watch, 5), now);
+    auto const first_watch = call_id(first, core::platform_method::watch);
+    step(entry, release_answer(first_watch, 5), now);
     EXPECT_EQ(entry.control.configuration.generation, 5U);
     now += std::chrono::seconds(1);
     auto const second = step(entry, core::tick{}, now);
-    auto const again = call_id(second, core::platform_method::watch);
-    ASSERT_NE(again, watch);
-    step(entry, release_answer(again, 4), now);
+    auto const second_watch = call_id(second, core::platform_method::watch);
+    ASSERT_NE(second_watch, first_watch);
+    step(entry, release_answer(second_watch, 4), now);
     EXPECT_EQ(entry.control.configuration.generation, 5U);
 }
 
-// The platform counts the versions of all its objects together, so the
-// release's object stands at 57 while its generation is 5. Operators would see
-// the platform's rate used up: a watch after 5 returns at once, each time.
+// Failure: a watch that waits for a version above the generation returns at
+// once each time and uses up the platform's call rate. The platform numbers the
+// versions of all its objects with one counter, so the release object may have
+// version 57 while its generation is 5.
 TEST(entry_control, the_watch_waits_for_the_object_and_not_the_generation)
 {
     state entry;
     entry.self = {"entry-1", "split-a", "dalmacija", 100};
-    entry.control.gossip.listed_since =
+    entry.control.gossip.peers_known_since =
         base::time_point{} - std::chrono::minutes(1);
     entry.control.members.list_version = 1;
     base::time_point now{};
@@ -76,12 +76,12 @@
     answer.version = 57;
     step(entry, answer, now);
     auto const second = step(entry, core::tick{}, now);
-    auto const again = call_id(second, core::platform_method::watch);
-    ASSERT_NE(again, 0U);
-    for (auto const& ordered : second)
+    auto const second_watch = call_id(second, core::platform_method::watch);
+    ASSERT_NE(second_watch, 0U);
+    for (auto const& emitted : second)
     {
-        auto const* const call = std::get_if<core::platform_call>(&ordered);
-        if (call != nullptr && call->id == again)
+        auto const* const call = std::get_if<core::platform_call>(&emitted);
+        if (call != nullptr && call->id == second_watch)
         {
             EXPECT_EQ(call->expected, 57U);
         }
--- a/libs/entry_core/tests/control_rig.cpp
+++ b/libs/entry_core/tests/control_rig.cpp
@@ -46,7 +46,8 @@
 
 control_rig::control_rig()
 {
-    // Other objects have moved the platform's counter on.
+    // Writes of other objects have already advanced the platform's version
+    // counter.
     this->platform.last_version = 40;
 }
 
@@ -98,7 +99,7 @@
 
 void control_rig::stop_entry(std::string const& name)
 {
-    this->give(name, core::stop_requested{});
+    this->step_entry(name, core::stop_requested{});
 }
 
 void control_rig::remove_vm(std::string const& name)
@@ -195,15 +196,15 @@
     this->frames.push_back(std::move(next));
 }
 
-void control_rig::give(std::string const& entry, event const& input)
+void control_rig::step_entry(std::string const& entry, event const& input)
 {
-    for (auto const& ordered : step(this->entries.at(entry), input, this->now))
+    for (auto const& emitted : step(this->entries.at(entry), input, this->now))
     {
-        if (auto const* const sent = std::get_if<core::send_message>(&ordered))
+        if (auto const* const sent = std::get_if<core::send_message>(&emitted))
         {
             this->send(entry, *sent);
         }
-        if (auto const* const call = std::get_if<core::platform_call>(&ordered))
+        if (auto const* const call = std::get_if<core::platform_call>(&emitted))
         {
             ++this->platform.calls;
             this->calls.push_back({entry, *call, this->now + call->wait});
@@ -211,13 +212,13 @@
     }
 }
 
-void control_rig::give_agent(
+void control_rig::step_agent(
     std::string const& agent, agent_core::event const& input)
 {
-    for (auto const& ordered :
+    for (auto const& emitted :
          agent_core::step(this->agents.at(agent), input, this->now))
     {
-        if (auto const* const sent = std::get_if<core::send_message>(&ordered))
+        if (auto const* const sent = std::get_if<core::send_message>(&emitted))
         {
             this->send(agent, *sent);
         }
@@ -237,11 +238,11 @@
         core::message_received const message{next.from, next.envelope};
         if (this->entries.contains(next.to))
         {
-            this->give(next.to, message);
+            this->step_entry(next.to, message);
         }
         else if (this->agents.contains(next.to))
         {
-            this->give_agent(next.to, message);
+            this->step_agent(next.to, message);
         }
     }
 }
@@ -336,7 +337,7 @@
             answer.error = base::error_kind::not_found;
         }
     }
-    this->give(waiting.entry, answer);
+    this->step_entry(waiting.entry, answer);
     return true;
 }
 
@@ -357,12 +358,12 @@
 {
     auto const note = [this](std::string const& name, std::uint64_t generation)
     {
-        auto& most = this->highest[name];
-        if (generation < most)
+        auto& highest_seen = this->highest[name];
+        if (generation < highest_seen)
         {
             this->reverts.push_back(name);
         }
-        most = std::max(most, generation);
+        highest_seen = std::max(highest_seen, generation);
     };
     for (auto const& [name, entry] : this->entries)
     {
@@ -386,14 +387,14 @@
         {
             if (!this->paused.contains(name))
             {
-                this->give(name, core::tick{});
+                this->step_entry(name, core::tick{});
             }
         }
         for (auto const& [name, agent] : this->agents)
         {
             if (!this->paused.contains(name))
             {
-                this->give_agent(name, core::tick{});
+                this->step_agent(name, core::tick{});
             }
         }
         this->note_reverts();
@@ -411,7 +412,7 @@
     return std::chrono::duration_cast<milliseconds>(this->now - start);
 }
 
-bool control_rig::all_have(std::uint64_t generation) const
+bool control_rig::all_have_generation(std::uint64_t generation) const
 {
     auto const has = [generation](auto const& process)
     {
--- a/libs/entry_core/tests/control_rig.hpp
+++ b/libs/entry_core/tests/control_rig.hpp
@@ -11,8 +11,9 @@
 #include <string>
 #include <vector>
 
-// Entries and agents on virtual time, with the platform and the lines between
-// them faked at the cores' own interface: messages and platform calls.
+// Entries and agents on virtual time. The platform and the links between
+// processes are faked at the interface of the cores: messages and platform
+// calls.
 namespace foxtailvale::entry_core
 {
 
@@ -25,15 +26,15 @@
         std::string value;
     };
     std::map<std::string, object> objects;
-    // Every value that each object ever had, in order.
+    // All values that each object has had, in order.
     std::map<std::string, std::vector<std::string>> history;
-    // What reads answer instead of the truth, by path.
+    // Stale objects that reads return instead of the current ones, by path.
     std::map<std::string, object> stale;
     std::vector<control::listed_vm> vms;
     std::uint64_t vms_version = 1;
     std::uint64_t last_version = 0;
     bool down = false;
-    // Writes whose answer is lost after the effect.
+    // Number of writes that still take effect but whose answer is lost.
     int lost_answers = 0;
     std::uint64_t calls = 0;
 
@@ -47,28 +48,30 @@
 
     void add_entry(std::string const& name, std::string const& domain);
     void add_agent(std::string const& name, std::string const& domain);
-    // Gives a process a new life without memory.
+    // Restarts the process with a new incarnation and empty state.
     void restart_entry(std::string const& name);
-    // Asks it to stop; it goes on until it is drained.
+    // Requests an orderly stop; the entry continues until it is drained.
     void stop_entry(std::string const& name);
     void remove_vm(std::string const& name);
 
-    // A generation with one model wanted on all agents of the domains.
+    // Accepts a generation in which each failure domain gets this many replicas
+    // of one model.
     void accept(std::uint64_t generation, std::uint32_t replicas = 4);
 
     void run_for(std::chrono::milliseconds length);
-    // Runs until it holds; how long that took, or the limit.
+    // Runs until the condition holds; returns the time that took, or the limit.
     std::chrono::milliseconds run_until(
         std::function<bool()> const& condition,
         std::chrono::milliseconds limit);
 
-    // Frames from the first to the second vanish; "" stands for the platform.
+    // Drops frames from the first process to the second; "" stands for the
+    // platform.
     void cut(std::string const& from, std::string const& to);
     void cut_domains(std::string const& one, std::string const& other);
     void cut_platform(std::string const& domain);
     void heal();
 
-    bool all_have(std::uint64_t generation) const;
+    bool all_have_generation(std::uint64_t generation) const;
     std::vector<std::string> watchers(std::string const& domain) const;
     std::string planner(std::string const& domain) const;
 
@@ -77,7 +80,8 @@
     std::map<std::string, state> entries;
     std::map<std::string, agent_core::state> agents;
     std::set<std::string> paused;
-    // Lowest generation seen in force after a higher one; must stay empty.
+    // Processes whose generation in force went back to a lower one; must stay
+    // empty.
     std::vector<std::string> reverts;
 
 private:
@@ -102,8 +106,8 @@
     bool is_cut(std::string const& from, std::string const& to) const;
     void send(std::string const& from, core::send_message const& message);
     void deliver();
-    void give(std::string const& entry, event const& input);
-    void give_agent(std::string const& agent, agent_core::event const& input);
+    void step_entry(std::string const& entry, event const& input);
+    void step_agent(std::string const& agent, agent_core::event const& input);
     void answer_calls();
     bool try_answer(waiting_call const& waiting);
     core::platform_answer carry_out(core::platform_call const& call);
--- a/libs/entry_core/tests/readiness_tests.cpp
+++ b/libs/entry_core/tests/readiness_tests.cpp
@@ -28,9 +28,9 @@
 
 } // namespace
 
-// Operators restart an entry under load. The balancer sends it callers as soon
-// as it is ready; it has the configuration at once but hears from agents a
-// little later, and until then it would refuse every caller.
+// Failure: an entry is restarted under load, and the load balancer routes
+// callers to it as soon as it is ready. It has the configuration at once but
+// hears from agents later, and would refuse every caller until then.
 TEST(readiness, waits_for_an_endpoint_of_each_kind)
 {
     auto entry = make_entry();
@@ -49,8 +49,9 @@
     EXPECT_TRUE(is_ready_at(entry, 400));
 }
 
-// A whole failure domain is cut off, or nothing serves a model yet. Waiting for
-// ever would take away every entry for what the others could still serve.
+// Failure: a complete failure domain is cut off, or no endpoint serves a model
+// yet. If entries waited without limit, none would be ready for the requests
+// that the other endpoints could still serve.
 TEST(readiness, does_not_wait_for_ever)
 {
     auto entry = make_entry();
--- a/libs/entry_core/tests/request_flow_tests.cpp
+++ b/libs/entry_core/tests/request_flow_tests.cpp
@@ -56,9 +56,9 @@
 template <class Action>
 Action const* find(std::vector<action> const& actions)
 {
-    for (auto const& ordered : actions)
+    for (auto const& emitted : actions)
     {
-        if (auto const* const found = std::get_if<Action>(&ordered))
+        if (auto const* const found = std::get_if<Action>(&emitted))
         {
             return found;
         }
@@ -98,8 +98,8 @@
     EXPECT_EQ(find<reply>(late), nullptr);
 }
 
-// An endpoint refuses at its gate because another entry was faster. The caller
-// must not notice: the request goes to the other endpoint.
+// An endpoint's gate refuses a request because another entry took the last
+// slot. The caller must not notice: the request goes to the other endpoint.
 TEST(entry_requests, a_refusal_as_not_run_goes_elsewhere)
 {
     auto entry = make_entry();
@@ -112,8 +112,9 @@
     EXPECT_NE(find<core::count_retry>(second), nullptr);
 }
 
-// The VM that runs a booking dies. Two vans would go out if the booking were
-// sent to another endpoint; the caller is told that the outcome is unknown.
+// Failure: the VM that runs a booking dies and the booking is sent to another
+// endpoint, so that it may run twice. Instead, the caller must be told that the
+// outcome is unknown.
 TEST(entry_requests, a_lost_booking_is_never_sent_again)
 {
     auto entry = make_entry();
@@ -135,9 +136,9 @@
         find<refuse>(lost)->error.kind, base::error_kind::outcome_unknown);
 }
 
-// The VM that streams an answer dies after two events. The caller reads on as
-// if nothing had happened: another endpoint of the same weights goes on from
-// there.
+// The VM that streams an answer dies after two events. Another endpoint with
+// the same weights must continue the stream after them, without an error for
+// the caller.
 TEST(entry_requests, a_cut_stream_resumes_where_it_stopped)
 {
     auto entry = make_entry();
@@ -159,8 +160,8 @@
     EXPECT_TRUE(find<reply>(step(entry, last, {}))->last);
 }
 
-// A stream is cut and no other endpoint has room at that moment. It waits for a
-// slot, before all others, rather than end half read.
+// A stream is interrupted while no other endpoint has room. It must wait for a
+// slot, before all other requests, instead of ending incomplete.
 TEST(entry_requests, a_cut_stream_waits_for_room)
 {
     auto entry = make_entry();
@@ -180,9 +181,9 @@
     entry.control.endpoints.at("agent-1").limit = 1;
     auto const served = step(entry, core::tick{}, {});
     core::send_message const* resumed = nullptr;
-    for (auto const& ordered : served)
+    for (auto const& emitted : served)
     {
-        auto const* const sent = std::get_if<core::send_message>(&ordered);
+        auto const* const sent = std::get_if<core::send_message>(&emitted);
         if (sent != nullptr && sent->envelope.has_run())
         {
             EXPECT_EQ(resumed, nullptr);
@@ -193,8 +194,8 @@
     EXPECT_EQ(resumed->envelope.run().resume_from(), 1U);
 }
 
-// The gates of all endpoints are full. The caller waits for a moment instead
-// of being sent away, and is served when a slot comes free.
+// The gates of all endpoints are full. The request must wait and be served when
+// a slot becomes free, instead of being refused.
 TEST(entry_requests, a_request_waits_for_room)
 {
     auto entry = make_entry();
@@ -212,8 +213,8 @@
     EXPECT_NE(find<core::send_message>(served), nullptr);
 }
 
-// An answer arrives just after its deadline. The caller was promised an answer
-// in time or an error; a success that comes late is neither.
+// An answer arrives just after its deadline. Callers are promised an answer in
+// time or an error, so it must not be relayed as a success.
 TEST(entry_requests, a_late_answer_is_no_success)
 {
     auto entry = make_entry();
@@ -226,36 +227,37 @@
         find<refuse>(late)->error.kind, base::error_kind::deadline_passed);
 }
 
-// A prompt crashes each engine that runs it, and its caller sends it again and
-// again. After two engines it is refused at the door, until an operator lets
-// it run again; others are served.
+// Failure: a prompt crashes each engine that runs it, and its caller sends it
+// again and again. After two engines the entry must refuse it until an operator
+// releases it, while other requests are served.
 TEST(entry_requests, a_request_that_crashed_two_endpoints_is_refused)
 {
     auto entry = make_entry();
-    auto killer = chat(1);
-    killer.body = "crash";
-    auto const sent = step(entry, killer, {});
-    auto const print =
+    auto crashing = chat(1);
+    crashing.body = "crash";
+    auto const sent = step(entry, crashing, {});
+    auto const fingerprint =
         find<core::send_message>(sent)->envelope.run().fingerprint();
     for (auto const* const agent : {"agent-1", "agent-2"})
     {
         core::message_received notice{agent, {}};
         auto* const body = notice.envelope.mutable_suspect_notice();
-        body->set_fingerprint(print);
+        body->set_fingerprint(fingerprint);
         body->set_endpoint(agent);
         step(entry, notice, {});
     }
-    killer.caller = 2;
-    auto const refused = step(entry, killer, {});
+    crashing.caller = 2;
+    auto const refused = step(entry, crashing, {});
     EXPECT_EQ(
         find<refuse>(refused)->error.kind, base::error_kind::suspect_request);
     EXPECT_NE(find<core::send_message>(step(entry, chat(3), {})), nullptr);
-    step(entry, release_suspect{print}, {});
-    killer.caller = 4;
-    EXPECT_NE(find<core::send_message>(step(entry, killer, {})), nullptr);
+    step(entry, release_suspect{fingerprint}, {});
+    crashing.caller = 4;
+    EXPECT_NE(find<core::send_message>(step(entry, crashing, {})), nullptr);
 }
 
-// The endpoint is lost twice under one request. A third endpoint is not risked.
+// Two endpoints are lost while they run the same request. It must not be sent
+// to a third.
 TEST(entry_requests, one_request_loses_two_endpoints_at_the_most)
 {
     auto entry = make_entry();
@@ -281,10 +283,11 @@
     EXPECT_EQ(find<refuse>(actions)->error.kind, base::error_kind::no_endpoint);
 }
 
-// Operators release new weights. No endpoint has them yet and all serve the
-// version before; callers were told "no endpoint" until the first had loaded.
-// The request goes to the old version and, once the caller has read a piece of
-// it, keeps to it: after a loss it does not go on with the new one.
+// Failure: new weights are released, and callers are refused with "no endpoint"
+// until the first endpoint has loaded them, although all serve the preceding
+// version. Requests must go to the old version. Once a caller has received a
+// piece of it, its request must stay with that version and not continue with
+// the new one after a loss.
 TEST(entry_requests, a_version_change_leaves_no_gap)
 {
     auto entry = make_entry();
--- a/libs/entry_core/tests/request_property_tests.cpp
+++ b/libs/entry_core/tests/request_property_tests.cpp
@@ -9,95 +9,101 @@
 {
 
 constexpr std::uint64_t seeds = 60;
-constexpr int moments = 300;
+constexpr int steps_per_seed = 300;
 
-// One moment of a bad hour: what happens next is drawn from the seed.
-class bad_hour
+// Random sequence of requests and faults, determined by the seed.
+class fault_scenario
 {
 public:
-    explicit bad_hour(std::uint64_t seed)
-        : world({.seed = seed, .longest_delay = milliseconds(8), .limit = 2})
+    explicit fault_scenario(std::uint64_t seed)
+        : simulation(
+              {.seed = seed, .longest_delay = milliseconds(8), .limit = 2})
     {
     }
 
-    void happen()
+    void run_random_step()
     {
-        switch (this->draw(24))
+        switch (this->random_number(24))
         {
         case 0:
-            this->world.kill(this->some_process());
+            this->simulation.kill(this->random_process());
             break;
         case 1:
-            this->world.restart(this->some_process());
+            this->simulation.restart(this->random_process());
             break;
         case 2:
-            this->world.store.down = this->draw(3) == 0;
+            this->simulation.store.down = this->random_number(3) == 0;
             break;
         case 3:
-            this->world.store.delay =
-                milliseconds(this->draw(4) == 0 ? 1200 : 1 + this->draw(10));
+            this->simulation.store.delay = milliseconds(
+                this->random_number(4) == 0 ? 1200
+                                            : 1 + this->random_number(10));
             break;
         case 4:
-            this->world.store.lose_write =
-                static_cast<std::uint32_t>(this->draw(4));
+            this->simulation.store.lose_write =
+                static_cast<std::uint32_t>(this->random_number(4));
             break;
         case 5:
             this->lose_frames();
             break;
         case 6:
-            this->hang_up_one();
+            this->disconnect_random_caller();
             break;
         default:
-            this->send_one();
+            this->send_random_booking();
         }
-        this->world.run_for(milliseconds(this->draw(120)));
+        this->simulation.run_for(milliseconds(this->random_number(120)));
     }
 
-    request_world world;
+    request_simulation simulation;
 
 private:
-    std::uint64_t draw(std::uint64_t bound)
+    std::uint64_t random_number(std::uint64_t bound)
     {
-        return base::random_below(this->world.random, bound);
+        return base::random_below(this->simulation.random, bound);
     }
 
-    std::string some_process()
+    std::string random_process()
     {
-        auto const number = this->draw(5);
+        auto const number = this->random_number(5);
         return number < 2 ? "entry-" + std::to_string(number + 1)
                           : "agent-" + std::to_string(number - 1);
     }
 
     void lose_frames()
     {
-        if (this->draw(2) == 0)
+        if (this->random_number(2) == 0)
         {
-            this->world.on_frame = nullptr;
+            this->simulation.on_frame = nullptr;
             return;
         }
-        this->world.on_frame =
+        this->simulation.on_frame =
             [this](
                 std::string const&, std::string const&, wire::Envelope const&)
         {
-            return this->draw(20) != 0;
+            return this->random_number(20) != 0;
         };
     }
 
-    void hang_up_one()
+    void disconnect_random_caller()
     {
         if (!this->ids.empty())
         {
-            this->world.hang_up(this->ids[this->draw(this->ids.size())]);
+            this->simulation.disconnect_caller(
+                this->ids[this->random_number(this->ids.size())]);
         }
     }
 
-    // Few keys, so that sends of one key meet; each has one body.
-    void send_one()
+    // Uses few keys, so that requests with the same key meet; each key has one
+    // body.
+    void send_random_booking()
     {
-        auto const entry = "entry-" + std::to_string(this->draw(2) + 1);
-        auto const number = std::to_string(this->draw(30));
-        auto const key = this->draw(5) == 0 ? "" : "key-" + number;
-        this->ids.push_back(this->world.book(entry, key, "body-" + number));
+        auto const entry =
+            "entry-" + std::to_string(this->random_number(2) + 1);
+        auto const number = std::to_string(this->random_number(30));
+        auto const key = this->random_number(5) == 0 ? "" : "key-" + number;
+        this->ids.push_back(
+            this->simulation.send_booking(entry, key, "body-" + number));
     }
 
     std::vector<std::string> ids;
@@ -105,28 +111,29 @@
 
 } // namespace
 
-// Processes die and come back, frames and answers are lost, the store is down
-// or slow, callers hang up and send again, in any order. No booking runs twice,
-// nobody is told "not run" whose booking ran, nobody gets another's answer, and
-// no gate lets through more than its limit.
+// Processes die and restart, frames and answers are lost, the object API is
+// down or slow, and callers disconnect and repeat their requests, in any order.
+// No booking may run twice, no caller whose booking ran may be told that it was
+// not run, no caller may get another's answer, and no gate may exceed its
+// limit.
 TEST(request_properties, hold_in_any_order_of_events)
 {
     std::size_t runs = 0;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed)
     {
-        bad_hour hour(seed);
-        for (int moment = 0; moment < moments; ++moment)
+        fault_scenario scenario(seed);
+        for (int step_number = 0; step_number < steps_per_seed; ++step_number)
         {
-            hour.happen();
+            scenario.run_random_step();
         }
-        hour.world.run_for(milliseconds(10'000));
-        for (auto const& broken : hour.world.broken_promises())
+        scenario.simulation.run_for(milliseconds(10'000));
+        for (auto const& violation : scenario.simulation.violated_invariants())
         {
-            ADD_FAILURE() << "seed " << seed << ": " << broken;
+            ADD_FAILURE() << "seed " << seed << ": " << violation;
         }
-        runs += hour.world.runs();
+        runs += scenario.simulation.runs();
     }
-    // The faults must not be so many that nothing is tried.
+    // Guards against a fault rate so high that hardly any request runs.
     EXPECT_GT(runs, seeds * 10);
 }
 
--- a/libs/entry_core/tests/request_world.cpp
+++ b/libs/entry_core/tests/request_world.cpp
@@ -12,7 +12,7 @@
 constexpr milliseconds report_interval{100};
 constexpr char const* domain = "split-a";
 constexpr std::uint64_t list_version = 1;
-// Entries ask their peers for a while before they believe the platform.
+// Entries wait for their peers for a while before they trust the platform.
 constexpr milliseconds settle_time{5000};
 
 template <class... Functions>
@@ -39,16 +39,17 @@
 
 } // namespace
 
-request_world::request_world(world_options const& how)
-    : random{how.seed}, options(how)
+request_simulation::request_simulation(
+    simulation_options const& initial_options)
+    : random{initial_options.seed}, options(initial_options)
 {
     this->objects[core::release_path] = {
-        ++this->last_version, to_text(make_release(how.limit))};
-    for (std::size_t index = 1; index <= how.entries; ++index)
+        ++this->last_version, to_text(make_release(initial_options.limit))};
+    for (std::size_t index = 1; index <= initial_options.entries; ++index)
     {
         this->entries["entry-" + std::to_string(index)];
     }
-    for (std::size_t index = 1; index <= how.agents; ++index)
+    for (std::size_t index = 1; index <= initial_options.agents; ++index)
     {
         this->agents["agent-" + std::to_string(index)];
     }
@@ -64,40 +65,40 @@
     this->run_for(settle_time);
 }
 
-void request_world::start_entry(std::string const& name)
+void request_simulation::start_entry(std::string const& name)
 {
     entry_core::state entry;
     entry.self = {name, domain, "dalmacija", 1000};
     entry.random.value = base::next_random(this->random);
     this->entries[name] = std::move(entry);
-    this->lives[name] = ++this->last_life;
-    this->known_lives[name].clear();
+    this->incarnations[name] = ++this->last_incarnation;
+    this->known_incarnations[name].clear();
 }
 
-void request_world::start_agent(std::string const& name)
+void request_simulation::start_agent(std::string const& name)
 {
     agent_core::state agent;
     agent.self = {name, domain, "dalmacija", "booking"};
     agent.random.value = base::next_random(this->random);
     this->agents[name] = std::move(agent);
-    this->lives[name] = ++this->last_life;
-    this->known_lives[name].clear();
+    this->incarnations[name] = ++this->last_incarnation;
+    this->known_incarnations[name].clear();
     this->running_now[name] = 0;
 }
 
-void request_world::at(base::time_point time, work what)
+void request_simulation::at(base::time_point time, task callback)
 {
-    this->agenda.emplace(time, std::move(what));
+    this->scheduled_tasks.emplace(time, std::move(callback));
 }
 
-milliseconds request_world::delay()
+milliseconds request_simulation::delay()
 {
     auto const bound =
         static_cast<std::uint64_t>(this->options.longest_delay.count());
     return milliseconds(base::random_below(this->random, bound + 1));
 }
 
-void request_world::tick()
+void request_simulation::tick()
 {
     for (auto const& [name, entry] : this->entries)
     {
@@ -123,7 +124,7 @@
         });
 }
 
-void request_world::step_entry(
+void request_simulation::step_entry(
     std::string const& name, entry_core::event const& event)
 {
     if (this->down.contains(name))
@@ -156,7 +157,7 @@
     }
 }
 
-void request_world::step_agent(
+void request_simulation::step_agent(
     std::string const& name, agent_core::event const& event)
 {
     if (this->down.contains(name))
@@ -181,7 +182,7 @@
     }
 }
 
-void request_world::send(
+void request_simulation::send(
     std::string const& from, core::send_message const& message)
 {
     if (this->on_frame && !this->on_frame(from, message.peer, message.envelope))
@@ -189,27 +190,28 @@
         return;
     }
     auto envelope = message.envelope;
-    envelope.set_from_incarnation(this->lives[from]);
-    auto const known = this->known_lives[from].find(message.peer);
-    if (known != this->known_lives[from].end())
+    envelope.set_from_incarnation(this->incarnations[from]);
+    auto const known = this->known_incarnations[from].find(message.peer);
+    if (known != this->known_incarnations[from].end())
     {
         envelope.set_to_incarnation(known->second);
     }
-    // One connection keeps its order.
+    // Frames of one connection keep their order.
     auto& last = this->last_frame[{from, message.peer}];
     last = std::max(last, this->now + this->delay());
-    auto const life = this->lives[from];
+    auto const incarnation = this->incarnations[from];
     this->at(
         last,
-        [this, from, life, to = message.peer, envelope = std::move(envelope)]
+        [this, from, incarnation, to = message.peer,
+         envelope = std::move(envelope)]
         {
-            this->deliver(from, life, to, envelope);
+            this->deliver(from, incarnation, to, envelope);
         });
 }
 
-void request_world::deliver(
+void request_simulation::deliver(
     std::string const& from,
-    std::uint64_t life,
+    std::uint64_t incarnation,
     std::string const& to,
     wire::Envelope envelope)
 {
@@ -217,11 +219,11 @@
     {
         return;
     }
-    this->known_lives[to][from] = life;
+    this->known_incarnations[to][from] = incarnation;
     if (envelope.to_incarnation() != 0 &&
-        envelope.to_incarnation() != this->lives[to])
+        envelope.to_incarnation() != this->incarnations[to])
     {
-        // As the peer bus does: tells the new incarnation.
+        // As the peer bus does, answers with the new incarnation.
         this->send(to, {from, {}});
         return;
     }
@@ -236,13 +238,14 @@
     }
 }
 
-void request_world::call_store(
+void request_simulation::call_store(
     std::string const& name, core::platform_call const& call)
 {
-    auto const life = this->lives[name];
-    auto const answer = [this, name, life](core::platform_answer const& result)
+    auto const incarnation = this->incarnations[name];
+    auto const answer =
+        [this, name, incarnation](core::platform_answer const& result)
     {
-        if (this->lives[name] == life)
+        if (this->incarnations[name] == incarnation)
         {
             this->step_entry(name, result);
         }
@@ -284,7 +287,7 @@
         });
 }
 
-core::platform_answer request_world::apply(core::platform_call const& call)
+core::platform_answer request_simulation::apply(core::platform_call const& call)
 {
     using core::platform_method;
     core::platform_answer answer;
@@ -310,7 +313,7 @@
         answer.version = this->last_version;
         return answer;
     case platform_method::vms:
-        // The list does not change; who has it is told so.
+        // The list does not change, so only a caller without it gets it.
         answer.ok = call.expected < list_version;
         answer.version = list_version;
         answer.value = this->vm_list();
@@ -328,10 +331,10 @@
     return answer;
 }
 
-std::string request_world::vm_list() const
+std::string request_simulation::vm_list() const
 {
     nlohmann::json list = nlohmann::json::array();
-    for (auto const& [name, life] : this->lives)
+    for (auto const& [name, incarnation] : this->incarnations)
     {
         auto const is_entry = this->entries.contains(name);
         list.push_back(
@@ -344,21 +347,22 @@
     return nlohmann::json{{"vms", list}}.dump();
 }
 
-void request_world::run_work(
+void request_simulation::run_work(
     std::string const& agent, agent_core::start_work const& start)
 {
     ++this->run_counts[start.run.request_id()];
     auto const limit = this->agents.at(agent).requests.gate.limit;
     if (++this->running_now[agent] > limit)
     {
-        ++this->gate_overruns;
+        ++this->gate_limit_violations;
     }
-    auto const life = this->lives[agent];
+    auto const incarnation = this->incarnations[agent];
     this->at(
         this->now + this->options.work,
-        [this, agent, life, start]
+        [this, agent, incarnation, start]
         {
-            if (this->lives[agent] != life || this->down.contains(agent))
+            if (this->incarnations[agent] != incarnation ||
+                this->down.contains(agent))
             {
                 return;
             }
@@ -374,7 +378,7 @@
         });
 }
 
-void request_world::note_reply(
+void request_simulation::note_reply(
     entry_core::reply const& reply, std::string const& entry)
 {
     auto& call = this->calls.at(this->callers.at(reply.caller));
@@ -384,7 +388,7 @@
     }
 }
 
-void request_world::note_refusal(
+void request_simulation::note_refusal(
     entry_core::refuse const& refusal, std::string const& entry)
 {
     auto& call = this->calls.at(this->callers.at(refusal.caller));
@@ -394,8 +398,8 @@
     }
 }
 
-std::string
-request_world::book(std::string const& entry, std::string key, std::string body)
+std::string request_simulation::send_booking(
+    std::string const& entry, std::string key, std::string body)
 {
     entry_core::caller_request request;
     request.caller = ++this->last_caller;
@@ -414,7 +418,7 @@
     return request.request_id;
 }
 
-void request_world::hang_up(std::string const& request_id)
+void request_simulation::disconnect_caller(std::string const& request_id)
 {
     auto const& entry = this->calls.at(request_id).entry;
     auto const caller = std::ranges::find(
@@ -426,21 +430,22 @@
     this->step_entry(entry, entry_core::caller_disconnected{caller->first});
 }
 
-void request_world::run_for(milliseconds length)
+void request_simulation::run_for(milliseconds length)
 {
     auto const end = this->now + length;
-    while (!this->agenda.empty() && this->agenda.begin()->first <= end)
+    while (!this->scheduled_tasks.empty() &&
+           this->scheduled_tasks.begin()->first <= end)
     {
-        auto const first = this->agenda.begin();
+        auto const first = this->scheduled_tasks.begin();
         this->now = std::max(this->now, first->first);
-        auto const what = std::move(first->second);
-        this->agenda.erase(first);
-        what();
+        auto const callback = std::move(first->second);
+        this->scheduled_tasks.erase(first);
+        callback();
     }
     this->now = end;
 }
 
-bool request_world::run_until(std::function<bool()> const& condition)
+bool request_simulation::run_until(std::function<bool()> const& condition)
 {
     auto const end = this->now + std::chrono::minutes(1);
     while (!condition() && this->now < end)
@@ -450,12 +455,12 @@
     return condition();
 }
 
-void request_world::kill(std::string const& name)
+void request_simulation::kill(std::string const& name)
 {
     this->down.insert(name);
 }
 
-void request_world::restart(std::string const& name)
+void request_simulation::restart(std::string const& name)
 {
     this->down.erase(name);
     if (this->entries.contains(name))
@@ -468,24 +473,24 @@
     }
 }
 
-std::vector<told> const&
-request_world::answers(std::string const& request_id) const
+std::vector<caller_answer> const&
+request_simulation::answers(std::string const& request_id) const
 {
     return this->calls.at(request_id).answers;
 }
 
-bool request_world::is_answered(std::string const& request_id) const
+bool request_simulation::is_answered(std::string const& request_id) const
 {
     return !this->answers(request_id).empty();
 }
 
-std::uint32_t request_world::runs_of(std::string const& request_id) const
+std::uint32_t request_simulation::runs_of(std::string const& request_id) const
 {
     auto const found = this->run_counts.find(request_id);
     return found == this->run_counts.end() ? 0 : found->second;
 }
 
-std::uint32_t request_world::runs_of_key(std::string const& key) const
+std::uint32_t request_simulation::runs_of_key(std::string const& key) const
 {
     std::uint32_t count = 0;
     for (auto const& [id, call] : this->calls)
@@ -495,7 +500,7 @@
     return count;
 }
 
-std::size_t request_world::runs() const
+std::size_t request_simulation::runs() const
 {
     std::size_t count = 0;
     for (auto const& [id, times] : this->run_counts)
@@ -505,20 +510,21 @@
     return count;
 }
 
-std::vector<std::string> request_world::broken_promises() const
+std::vector<std::string> request_simulation::violated_invariants() const
 {
-    std::vector<std::string> broken;
+    std::vector<std::string> violations;
     for (auto const& [id, call] : this->calls)
     {
         auto const runs =
             call.key.empty() ? this->runs_of(id) : this->runs_of_key(call.key);
         if (runs > 1)
         {
-            broken.push_back(id + " ran " + std::to_string(runs) + " times");
+            violations.push_back(
+                id + " ran " + std::to_string(runs) + " times");
         }
         if (call.answers.size() > 1)
         {
-            broken.push_back(id + " was answered twice");
+            violations.push_back(id + " was answered twice");
         }
         for (auto const& answer : call.answers)
         {
@@ -527,21 +533,21 @@
                 base::row_of(*answer.error).ran == base::ran_state::no;
             if (denied && this->runs_of(id) > 0)
             {
-                broken.push_back(
-                    id + " ran although it was told " +
+                violations.push_back(
+                    id + " ran although its caller was told " +
                     std::string(base::row_of(*answer.error).name));
             }
             if (!answer.error && answer.body != answer_text(call.body))
             {
-                broken.push_back(id + " got the answer of another");
+                violations.push_back(id + " got the answer of another request");
             }
         }
     }
-    if (this->gate_overruns > 0)
+    if (this->gate_limit_violations > 0)
     {
-        broken.push_back("a gate let too many through");
+        violations.push_back("a gate exceeded its limit");
     }
-    return broken;
+    return violations;
 }
 
 } // namespace foxtailvale::testing
