--- a/libs/direct/tests/endpoint_book_tests.cpp
+++ b/libs/direct/tests/endpoint_book_tests.cpp
@@ -27,7 +27,7 @@
 
 } // namespace
 
-TEST(endpoint_table, what_left_is_gone_at_once)
+TEST(endpoint_book, what_left_is_gone_at_once)
 {
     endpoint_table book;
     put(book, engine("a"));
@@ -38,7 +38,7 @@
 // The platform is away, the entries of its list run out, and it comes back
 // with an empty list. All callers are refused until the endpoints have
 // registered anew, although all of them live.
-TEST(endpoint_table, what_a_lost_list_misses_is_used_a_little_longer)
+TEST(endpoint_book, what_a_lost_list_misses_is_used_a_little_longer)
 {
     endpoint_table book;
     put(book, engine("a"));
@@ -49,7 +49,7 @@
     EXPECT_TRUE(book.endpoints.empty());
 }
 
-TEST(endpoint_table, one_that_returns_does_not_lapse)
+TEST(endpoint_book, one_that_returns_does_not_lapse)
 {
     endpoint_table book;
     put(book, engine("a"));
@@ -61,7 +61,7 @@
 
 // An endpoint announced that it leaves, and the list is lost just then. Kept
 // as one that lapsed, it would get requests after its end.
-TEST(endpoint_table, one_that_was_leaving_does_not_stay)
+TEST(endpoint_book, one_that_was_leaving_does_not_stay)
 {
     endpoint_table book;
     auto leaving = engine("a");
@@ -71,7 +71,7 @@
     EXPECT_TRUE(book.endpoints.empty());
 }
 
-TEST(endpoint_table, a_fresh_report_goes_before_the_list)
+TEST(endpoint_book, a_fresh_report_goes_before_the_list)
 {
     endpoint_table book;
     put(book, engine("a"));
@@ -83,7 +83,7 @@
 
 // Guards against a report that two entries pass on wiping out what was sent to
 // the endpoint between the two.
-TEST(endpoint_table, a_report_that_was_passed_on_counts_once)
+TEST(endpoint_book, a_report_that_was_passed_on_counts_once)
 {
     endpoint_table book;
     put(book, engine("a"));
@@ -110,7 +110,7 @@
 
 // The address of an endpoint that ended is used again by another. The report
 // on the old one must not speak for the new one.
-TEST(endpoint_table, a_report_does_not_outlive_its_address)
+TEST(endpoint_book, a_report_does_not_outlive_its_address)
 {
     endpoint_table book;
     put(book, engine("a"));
@@ -215,7 +215,7 @@
 
 // An engine is emptied and taken away while a version is named. Its agent would
 // be told to draw chunks for all the others, and it is stopped a moment later.
-TEST(endpoint_table, agents_of_endpoints_that_leave_take_no_part)
+TEST(endpoint_book, agents_of_endpoints_that_leave_take_no_part)
 {
     endpoint_record engine;
     engine.service = "s";
--- a/libs/direct/tests/placement_tests.cpp
+++ b/libs/direct/tests/placement_tests.cpp
@@ -577,7 +577,7 @@
 
 // Lasting overload: there is always a line. What has waited half its goal is
 // answered late and has taken the place of another that is late in turn.
-TEST(max_wait, leaves_time_for_the_first_event)
+TEST(longest_wait, leaves_time_for_the_first_event)
 {
     request::measured_time first;
     EXPECT_EQ(max_wait(milliseconds(400), first), milliseconds(200));
--- a/libs/direct/tests/repeat_tests.cpp
+++ b/libs/direct/tests/repeat_tests.cpp
@@ -71,7 +71,7 @@
     EXPECT_FALSE(is_answer(facts));
 }
 
-TEST(is_retry_allowed, what_may_run_once_is_repeated_only_when_it_did_not_run)
+TEST(may_repeat, what_may_run_once_is_repeated_only_when_it_did_not_run)
 {
     EXPECT_TRUE(
         is_retry_allowed(failed_once(repetition::non_idempotent, ran_state::no)));
@@ -81,7 +81,7 @@
         is_retry_allowed(failed_once(repetition::non_idempotent, ran_state::yes)));
 }
 
-TEST(is_retry_allowed, what_may_run_again_is_repeated_up_to_its_attempts)
+TEST(may_repeat, what_may_run_again_is_repeated_up_to_its_attempts)
 {
     auto ask = failed_once(repetition::idempotent, ran_state::unknown);
     EXPECT_TRUE(is_retry_allowed(ask));
@@ -89,7 +89,7 @@
     EXPECT_FALSE(is_retry_allowed(ask));
 }
 
-TEST(is_retry_allowed, only_a_stream_that_resumes_goes_on_after_its_first_event)
+TEST(may_repeat, only_a_stream_that_resumes_goes_on_after_its_first_event)
 {
     auto ask = failed_once(repetition::resumable, ran_state::yes);
     ask.answer_begun = true;
@@ -100,7 +100,7 @@
 
 // Random courses of a request that may run once: whatever order of facts
 // comes, it is never sent again after an attempt that may have run.
-TEST(is_retry_allowed, no_course_sends_a_non_idempotent_request_after_a_run)
+TEST(may_repeat, no_course_sends_a_non_idempotent_request_after_a_run)
 {
     base::random_state random{11};
     for (auto course = 0; course < 20000; ++course)
