--- a/libs/direct/include/direct/retry.hpp
+++ b/libs/direct/include/direct/retry.hpp
@@ -1,5 +1,5 @@
-#ifndef FOXTAILVALE_DIRECT_REPEAT_HPP
-#define FOXTAILVALE_DIRECT_REPEAT_HPP
+#ifndef FOXTAILVALE_DIRECT_RETRY_HPP
+#define FOXTAILVALE_DIRECT_RETRY_HPP
 
 #include <base/error.hpp>
 #include <routing/configuration.hpp>
