--- a/libs/direct/include/direct/attempt_limit.hpp
+++ b/libs/direct/include/direct/attempt_limit.hpp
@@ -9,45 +9,49 @@
 #include <cstdint>
 #include <optional>
 
-// How long an attempt at an endpoint that sends nothing is waited for.
+// Time limits for attempts at endpoints that send nothing.
 namespace foxtailvale::direct
 {
 
-// An attempt whose connection is open, as its entry sees it.
+// State of an attempt on an open connection, as seen by its entry.
 struct attempt_progress
 {
     routing::repetition repeats = routing::repetition::non_idempotent;
     bool streams = false;
-    // What callers of the route expect to wait: for the answer or a stream's
-    // first event, and between two events.
+    // Latency goals of the route: for the answer or a stream's first event, and
+    // for the gap between two events.
     std::chrono::milliseconds goal{0};
     std::chrono::milliseconds gap_goal{0};
-    // Endpoints on which earlier attempts ran or may have run, and the most
-    // that may.
+    // Number of endpoints on which earlier attempts ran or may have run, and
+    // the maximum allowed.
     std::uint32_t runs = 0;
     std::uint32_t most_attempts = 1;
-    // Events of this attempt that were passed on.
+    // Events of this attempt that were forwarded to the caller.
     std::uint32_t events = 0;
     base::time_point begun;
     base::time_point last_byte;
-    // When the caller asked, or got its last event.
+    // Time of the caller's request or of the last event sent to the caller.
     base::time_point caller_heard;
-    // The endpoint sends to nobody any more.
+    // The endpoint no longer sends to any caller (see is_lost).
     bool lost = false;
 };
 
-// Whether the endpoint sends to nobody any more, as far as it is known: it owes
-// answers and is silent, or its agent is silent or cannot reach it.
+// Whether the endpoint is believed to send to no caller any more: it owes
+// answers and has stalled, its agent is unresponsive, or its agent cannot reach
+// it.
 bool is_lost(endpoint_state const& state, base::time_point now);
 
-// When the attempt is given up unless the endpoint sends something before;
-// nothing when it is waited for until the request's time is up.
+// Returns the time at which the attempt times out unless the endpoint sends
+// something before then; nothing if the attempt may wait until the request's
+// own deadline.
 //
-// The last attempt is given up at a lost endpoint only, and its caller told
-// that it may have run. Failure: callers whose requests had been repeated at a
-// second machine that stood still waited there until they left, and the engines
-// ran for nobody what they had read. Who is told in time asks again.
-std::optional<base::time_point> attempt_deadline(attempt_progress const& attempt);
+// The last attempt times out only at a lost endpoint, and its caller is told
+// that the request may have run. Failure: requests that were retried at a
+// second paused machine waited there until their callers disconnected, and the
+// engines then ran the requests that they had read although nobody waited for
+// the answers. A caller that is notified in time can send the request again.
+std::optional<base::time_point>
+attempt_deadline(attempt_progress const& attempt);
 
 } // namespace foxtailvale::direct
 
--- a/libs/direct/include/direct/endpoint_table.hpp
+++ b/libs/direct/include/direct/endpoint_table.hpp
@@ -13,18 +13,18 @@
 #include <utility>
 #include <vector>
 
-// What an entry knows of the endpoints that it sends requests to itself: what
-// the platform lists, what agents report, and what its own requests met.
+// Table of the endpoints to which an entry sends requests directly. Combines
+// the platform's list, the agents' reports and the results of the entry's own
+// requests.
 namespace foxtailvale::direct
 {
 
-// Weights that an endpoint serves.
 struct served_weights
 {
     std::string model;
-    // Zero when the endpoint holds none.
+    // Zero when the endpoint holds no weights.
     std::uint64_t version = 0;
-    // Every layer is there.
+    // All layers are present.
     bool whole = false;
 
     bool operator==(served_weights const&) const = default;
@@ -32,42 +32,46 @@
 
 struct endpoint_record;
 
-// Whether the agent beside the endpoint takes part when weights of the service
-// are handed on. Failure: endpoints that were being taken away stood first in
-// the list, their agents were to draw a sixth of a version's chunks and were
-// stopped half a second later; the origin died, and the fleet missed two chunks
-// for six seconds. Planned work says that an endpoint leaves seconds ahead.
-bool participates_in_transfer(endpoint_record const& endpoint, std::string const& service);
-
-// An endpoint as the platform lists it.
+// Whether the agent beside the endpoint takes part in transfers of the
+// service's weights. Agents of draining endpoints do not.
+//
+// Failure: endpoints that were being removed came first in the list, so that
+// their agents were assigned a sixth of a version's chunks to fetch from the
+// origin and were stopped 0.5 s later. The origin then failed, and the fleet
+// lacked two chunks for 6 s. Planned maintenance announces seconds in advance
+// that an endpoint leaves.
+bool participates_in_transfer(
+    endpoint_record const& endpoint, std::string const& service);
+
+// An endpoint as listed by the platform.
 struct endpoint_record
 {
-    // Names one start of the endpoint's process.
+    // Unique for each start of the endpoint's process.
     std::string id;
     std::string service;
-    // "IP:PORT"; used again by others after an endpoint's end.
+    // "IP:PORT"; may be reused by another endpoint after this one has ended.
     std::string address;
     std::string failure_domain;
     std::uint32_t slots = 1;
     bool draining = false;
-    // How much longer it was cold when the record was written.
+    // Remaining cold time when the record was written.
     std::chrono::milliseconds cold_left{0};
     served_weights weights;
 
     bool operator==(endpoint_record const&) const = default;
 };
 
-// What the agent beside an engine says of it, fresher than the list.
+// Engine state as reported by its agent; more recent than the platform's list.
 struct load_report
 {
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
-    // Over one: it works that many times slower than published.
+    // Slowdown relative to the published speed; 2 means half as fast.
     double pace = 1;
     served_weights weights;
-    // It takes no new work until an order is carried out.
+    // The engine accepts no new requests until a switch order is completed.
     bool switching = false;
-    // It will switch about then.
+    // Expected time of the next switch.
     std::optional<base::time_point> switches_at;
     // The agent could not reach the engine.
     bool unreachable = false;
@@ -78,192 +82,211 @@
     endpoint_record listed;
     std::optional<load_report> report;
     base::time_point reported;
-    // Own requests that run there.
+    // This entry's requests that are running at the endpoint.
     std::uint32_t own_running = 0;
-    // Own requests begun less those ended since the report.
-    std::int32_t own_change = 0;
-    // Own requests of the last second and a little more, oldest first.
+    // This entry's requests that began minus those that ended since the report.
+    std::int32_t own_delta = 0;
+    // Start times of this entry's requests in the last 3 s, oldest first.
     std::deque<base::time_point> recent;
-    // When it last sent anything, or was sent something while it owed nothing.
+    // Last time at which the endpoint sent anything, or at which it was sent a
+    // request while it owed no answer.
     base::time_point last_heard;
-    // When it last sent anything.
+    // Last time at which the endpoint sent anything.
     base::time_point last_sent;
-    // Share of its answers that were faults, weighted to the latest.
+    // Exponentially weighted share of faulty answers.
     double fault_share = 0;
     base::time_point last_fault;
-    // Not tried before then, after a connection that did not come about or a
-    // request that was turned away.
+    // The endpoint is not used before this time, after a failed connection or a
+    // rejected request.
     base::time_point avoid_until;
     std::uint32_t connect_faults = 0;
-    // Requests whose answers were cut before they began, with the time.
-    std::vector<std::pair<std::uint64_t, base::time_point>> cuts;
-    // Left the list while the platform was not stable; kept until then.
-    std::optional<base::time_point> lapses;
+    // Requests whose connection broke before the answer began, with the time.
+    std::vector<std::pair<std::uint64_t, base::time_point>> lost_answers;
+    // Set when the endpoint left the list while the list was unreliable; the
+    // endpoint is removed at this time.
+    std::optional<base::time_point> removal_due;
 };
 
-// A version of a model's weights that operators named.
-struct named_version
+// A version of a model's weights that operators announced.
+struct announced_version
 {
     std::uint64_t version = 0;
     base::time_point learned;
-    // The version before it may begin nothing after this moment.
-    base::time_point older_until;
+    // No request may start on the previous version after this time.
+    base::time_point predecessor_retires_at;
 };
 
-// What is held against the list after the store came back from a copy.
-struct list_doubt
+// What is known about list entries that may be wrong because the platform's
+// store was restored from an older copy.
+struct store_restore_state
 {
-    // When the store last came back.
-    std::optional<base::time_point> returned;
-    // Endpoints that left the list, and when.
-    std::map<std::string, base::time_point> left;
-    // Records of the copy that are not believed yet, by id.
-    std::map<std::string, endpoint_record> kept_back;
-    // Failure domains that are out of service though the copy lacks them.
+    // When the store was last restored.
+    std::optional<base::time_point> restored;
+    // Endpoints that left the list, with the time.
+    std::map<std::string, base::time_point> departed;
+    // Records of the copy that are not applied yet, by endpoint id.
+    std::map<std::string, endpoint_record> withheld;
+    // Failure domains that stay out of service although the copy does not list
+    // them.
     std::set<std::string> held_out;
 };
 
 struct endpoint_table
 {
-    // By id.
+    // By endpoint id.
     std::map<std::string, endpoint_state> endpoints;
     // Failure domains that are out of service.
     std::set<std::string> domains_out;
-    // By model. Versions that were named and are not yet past their bound
-    // stand behind each other, oldest first.
-    std::map<std::string, std::vector<named_version>> versions;
+    // By model. Announced versions whose predecessors may still be in use,
+    // oldest first.
+    std::map<std::string, std::vector<announced_version>> versions;
     // Region of each failure domain.
     std::map<std::string, std::string> regions;
-    // Entries of each failure domain, as the agents there name them.
+    // Entries of each failure domain, as announced by the agents there.
     std::map<std::string, std::set<std::string>> domain_entries;
-    list_doubt doubt;
+    store_restore_state restore_state;
 };
 
-// How long an endpoint that left the list is still used when the list itself
-// was lost for a while: those that live are back within two seconds of the
-// platform's return, and what leaves may get nothing two seconds later.
-inline constexpr std::chrono::milliseconds lapse_time{1500};
+// How long an endpoint that disappeared from the list stays in use when the
+// list itself was lost for a while. Live endpoints register again within 2 s of
+// the platform's return, and an endpoint that leaves may get no requests after
+// another 2 s.
+inline constexpr std::chrono::milliseconds removal_grace{1500};
 
-// Takes one record in; false when nothing changed.
-bool put(endpoint_table& book, endpoint_record record);
+// Adds or updates a record. Returns false if nothing changed.
+bool put(endpoint_table& table, endpoint_record record);
 
-// Takes an endpoint off the list: at once, or after lapse_time when the list
-// was not to be relied on.
+// Removes an endpoint: at once, or after removal_grace if the list was
+// unreliable and the endpoint was not draining.
 void remove(
-    endpoint_table& book,
+    endpoint_table& table,
     std::string const& id,
     bool list_was_lost,
     base::time_point now);
 
 // Replaces the whole list.
 void replace_all(
-    endpoint_table& book,
+    endpoint_table& table,
     std::vector<endpoint_record> records,
     bool list_was_lost,
     base::time_point now);
 
-// How many endpoints of the service are listed.
-std::size_t count_of(endpoint_table const& book, std::string const& service);
+// Returns the number of listed endpoints of the service.
+std::size_t count_of(endpoint_table const& table, std::string const& service);
 
-// Drops what lapsed and believes what was kept back for long enough.
-void expire(endpoint_table& book, base::time_point now);
+// Removes endpoints whose grace period has ended and applies withheld records
+// whose time has come.
+void expire(endpoint_table& table, base::time_point now);
 
-// Takes an agent's word on the engine at this IP address.
+// Applies an agent's report on the engine at this IP address.
 void note_report(
-    endpoint_table& book,
+    endpoint_table& table,
     std::string const& address,
     load_report const& report,
     base::time_point now);
 
-// Takes a report that another entry passed on, as of the moment at which it
-// came there; nothing changes when a newer one is known, and what this entry
-// has sent since that moment counts on top. Failure: two entries pass the same
-// report on, and what this entry has sent since the first is forgotten with the
-// second.
+// Applies a report that another entry relayed, dated with the time at which
+// that entry received it. Does nothing if a newer report is known. Requests
+// that this entry has sent since that time are counted on top.
+//
+// Failure: two entries relay the same report, and the second copy resets the
+// count of requests sent since the first.
 void note_relayed_report(
-    endpoint_table& book,
+    endpoint_table& table,
     std::string const& address,
     load_report const& report,
     base::time_point as_of);
 
-// Takes a version in if it is newer than those known; false when it is not.
+// Records a version if it is newer than all known ones. Returns false
+// otherwise.
 bool announce_version(
-    endpoint_table& book, std::string const& model, named_version const& named);
-
-// The machine was suspended for that long. Failure: the steady clock stands
-// still meanwhile, and the time of older versions would end that much later
-// here than everywhere else.
-void note_suspended(endpoint_table& book, std::chrono::milliseconds time);
-
-// When this version of the model stops to begin requests, as far as newer ones
-// are known; nothing for the newest.
+    endpoint_table& table,
+    std::string const& model,
+    announced_version const& announced);
+
+// Corrects the times of all versions after the machine was suspended for this
+// time. Failure: the steady clock does not advance during a suspension, so that
+// older versions would stay in use for that much longer here than at all other
+// entries.
+void note_suspended(endpoint_table& table, std::chrono::milliseconds time);
+
+// Returns the time after which no request may start on this version of the
+// model, as far as newer versions are known; nothing for the newest version.
 std::optional<base::time_point> version_retires_at(
-    endpoint_table const& book, std::string const& model, std::uint64_t version);
+    endpoint_table const& table,
+    std::string const& model,
+    std::uint64_t version);
 
-// When the first version newer than this one was named; nothing for the newest.
+// Returns the time at which the first newer version was announced; nothing for
+// the newest version.
 std::optional<base::time_point> superseded_at(
-    endpoint_table const& book, std::string const& model, std::uint64_t version);
+    endpoint_table const& table,
+    std::string const& model,
+    std::uint64_t version);
 
-// How an own request at an endpoint ended, as far as the endpoint is judged.
+// Result of this entry's request, as it counts for the endpoint's rating.
 enum class request_outcome
 {
     answered,
-    // It said that it did not run it: full.
+    // The endpoint rejected the request without running it because it is full.
     declined,
-    // It said that it is not what the request was sent for: another endpoint
-    // has the address, or it holds other weights.
+    // The endpoint is not the intended one: the address belongs to another
+    // endpoint now, or the endpoint holds other weights.
     misdirected,
-    // A fault of its own, a cut answer or silence.
+    // Endpoint error, truncated answer or time-out.
     faulty,
-    // No connection came about.
+    // The connection could not be established.
     not_connected,
-    // Ended from this side.
+    // Cancelled by this entry.
     cancelled,
 };
 
 void note_request_begun(
-    endpoint_table& book, std::string const& id, base::time_point now);
+    endpoint_table& table, std::string const& id, base::time_point now);
 void note_request_ended(
-    endpoint_table& book,
+    endpoint_table& table,
     std::string const& id,
-    request_outcome how,
+    request_outcome outcome,
     base::time_point now);
 
-// The answer to a request was cut before it began: the request may have crashed
-// the endpoint, or only its answer was lost.
+// Records that the connection broke before the answer began. Either the request
+// crashed the endpoint or only its answer was lost.
 void note_lost_answer(
-    endpoint_table& book,
+    endpoint_table& table,
     std::string const& id,
     std::uint64_t request,
     base::time_point now);
 
-// The endpoint is gone: the requests that were cut there a moment before, each
-// told once. Failure: lost answers were taken for crashes, and everybody who
-// asked the same was refused for minutes while the endpoints lived.
-std::vector<std::uint64_t>
-take_lost_answers(endpoint_table& book, std::string const& id, base::time_point now);
+// Called when the endpoint has disappeared. Returns the requests whose answers
+// were lost there shortly before, each of them once.
+//
+// Failure: lost answers were taken for crashes, and all callers with the same
+// request were refused for minutes while the endpoints were alive.
+std::vector<std::uint64_t> take_lost_answers(
+    endpoint_table& table, std::string const& id, base::time_point now);
 
-// Anything came from the endpoint.
+// Records that the endpoint sent something.
 void note_heard(
-    endpoint_table& book, std::string const& id, base::time_point now);
+    endpoint_table& table, std::string const& id, base::time_point now);
 
-// It owes answers and has sent nothing for this long. Streams send every 50 ms
-// and plain answers take less than half a second.
+// An endpoint that owes answers and has sent nothing for this long has stalled.
+// Streams send every 50 ms, and plain answers take less than 0.5 s.
 inline constexpr std::chrono::milliseconds stall_time{500};
 bool is_stalled(endpoint_state const& state, base::time_point now);
 
-// Time after which an agent that reported before counts as silent.
+// An agent whose last report is older than this counts as unresponsive.
 inline constexpr std::chrono::milliseconds report_timeout{700};
 
-// Its agent reported before and is silent now, and the endpoint has sent
-// nothing since either: its machine may stand still.
-bool is_silent(endpoint_state const& state, base::time_point now);
+// Whether the agent, which reported before, is unresponsive and the endpoint
+// has sent nothing for as long: its machine may be paused.
+bool is_unresponsive(endpoint_state const& state, base::time_point now);
 
-// Weights as known best now: the agent's word while it is fresh.
+// Returns the weights as best known: from the agent's report while it is fresh
+// and the agent reaches the engine, otherwise from the list.
 served_weights const&
 weights_of(endpoint_state const& state, base::time_point now);
 
-// True while the agent's last word is fresh.
+// Whether the agent's last report is no older than report_timeout.
 bool is_fresh(endpoint_state const& state, base::time_point now);
 
 } // namespace foxtailvale::direct
--- a/libs/direct/include/direct/process_pause.hpp
+++ b/libs/direct/include/direct/process_pause.hpp
@@ -6,36 +6,36 @@
 #include <chrono>
 #include <optional>
 
-// Whether this process stood still a moment ago: frozen, or on a suspended
-// machine. What it reads first when it goes on may have lain there all the
-// while.
+// Detects that this process was paused: frozen, or on a suspended machine.
+// Messages that it reads right after a pause may have arrived at any time
+// during the pause.
 namespace foxtailvale::direct
 {
 
 struct process_pause
 {
-    // The last sign of running on time.
-    std::optional<base::boot_time> ticked;
+    // Time of the last tick.
+    std::optional<base::boot_time> last_tick;
     base::boot_time began;
     std::optional<base::boot_time> ended;
 };
 
-// Ticks come every 20 ms; one that is half a second late was not held up by
-// work, of which a tenth of a second's worth at the most comes together.
-inline constexpr std::chrono::milliseconds longest_running{500};
+// Ticks come every 20 ms. A tick that is 500 ms late was not delayed by the
+// process's own work, which blocks for 0.1 s at most.
+inline constexpr std::chrono::milliseconds max_tick_gap{500};
 
-// What lay unread is read within this time after a pause.
+// Messages that arrived during a pause are read within this time after it.
 inline constexpr std::chrono::milliseconds catch_up_time{2000};
 
-// Called at each tick.
+// Must be called at each tick.
 void note_tick(process_pause& state, base::boot_time now);
 
-// The earliest moment at which something may have arrived that is read now:
-// now, or the beginning of a pause that has just ended.
+// Returns the earliest time at which a message that is read now may have
+// arrived: now, or the beginning of a pause that has just ended.
 //
-// Failure: a version is named while an entry is frozen for six seconds. Read as
-// news of this moment, the entry would let requests begin on the older version
-// six seconds longer than all others.
+// Failure: a version is announced while an entry is frozen for 6 s. If the
+// entry took the announcement for a new one, it would start requests on the
+// older version for 6 s longer than all other entries.
 base::boot_time
 earliest_arrival(process_pause const& state, base::boot_time now);
 
--- a/libs/direct/include/direct/report_sources.hpp
+++ b/libs/direct/include/direct/report_sources.hpp
@@ -11,35 +11,38 @@
 #include <string>
 #include <vector>
 
-// From whom an entry hears what agents of other failure domains report.
+// Selects the entries from which an entry receives the agents' reports of other
+// failure domains.
 //
 // Agents report to the entries of their own domain. An entry asks two entries
-// of each other domain to pass these reports on, a stable choice that differs
-// from entry to entry, so that what an entry receives and sends does not grow
-// with the fleet and nobody has to be appointed. Failure: every agent reported
-// to every entry; at 138 agents and 148 entries the reports filled the agents'
-// links and those between regions, and answers came late.
+// of each other domain to relay these reports. The choice is stable and differs
+// between entries, so that the messages of an entry do not grow with the fleet
+// and no coordinator is needed.
+//
+// Failure: every agent reported to every entry. With 138 agents and 148 entries
+// the reports filled the agents' links and the links between regions, and
+// answers were late.
 namespace foxtailvale::direct
 {
 
-// An entry of another failure domain that is asked.
+// An entry of another failure domain that is asked to relay reports.
 struct report_source
 {
-    // Since when.
+    // When it was first asked.
     base::time_point asked;
-    // When it last passed reports on.
+    // When it last relayed reports.
     std::optional<base::time_point> heard;
-    // It passed nothing on and is not asked again until then.
-    std::optional<base::time_point> rests_until;
+    // It relayed nothing and is not asked again before this time.
+    std::optional<base::time_point> backoff_until;
 };
 
 struct domain_sources
 {
-    // Since when reports of the domain are wanted.
+    // When reports of the domain were first wanted.
     base::time_point wanted;
-    // When any entry last passed some on.
+    // When any entry of the domain last relayed reports.
     std::optional<base::time_point> heard;
-    // By the entries' names.
+    // By entry name.
     std::map<std::string, report_source> entries;
 };
 
@@ -51,31 +54,33 @@
     std::map<std::string, domain_sources> domains;
 };
 
-// Entries asked in each domain: while one is lost, the other passes reports on.
+// Entries asked in each domain: if one is lost, the other still relays reports.
 inline constexpr std::size_t sources_per_domain = 2;
 
-// Reports are passed on, and asked for anew, this often.
+// Interval at which reports are relayed and requests for them are renewed.
 inline constexpr std::chrono::milliseconds relay_interval{400};
 
-// One that passed nothing on for this long is replaced, and rests.
-inline constexpr std::chrono::milliseconds source_patience{1200};
-inline constexpr std::chrono::milliseconds source_rest{5000};
+// An entry that relayed nothing for this long is replaced and not asked again
+// for source_backoff.
+inline constexpr std::chrono::milliseconds source_timeout{1200};
+inline constexpr std::chrono::milliseconds source_backoff{5000};
 
-// Whom of the domain's entries to ask now. Replaces those that fell silent.
+// Returns the entries of the domain to ask now, replacing unresponsive ones.
 std::vector<std::string> choose_sources(
     report_sources& state,
     std::string const& domain,
     std::set<std::string> const& entries,
     base::time_point now);
 
-// An entry of the domain passed reports on.
+// Records that an entry of the domain relayed reports.
 void note_relayed(
     report_sources& state,
     std::string const& domain,
     std::string const& entry,
     base::time_point now);
 
-// No entry of the domain passes reports on: its agents are asked themselves.
+// Whether no entry of the domain relays reports, so that its agents have to be
+// asked directly.
 bool must_poll_agents(
     report_sources const& state,
     std::string const& domain,
--- a/libs/direct/include/direct/shares.hpp
+++ b/libs/direct/include/direct/shares.hpp
@@ -13,33 +13,35 @@
 #include <set>
 #include <string>
 
-// Bounds that hold for all entries together, cut into parts that each entry
-// keeps by itself: no message between entries is in time when a zone is cut
-// off, and a sum of fixed parts cannot be exceeded.
+// Limits that hold for all entries together, split into fixed shares that each
+// entry enforces by itself. Messages between entries are not timely while a
+// zone is cut off, and a sum of fixed shares cannot be exceeded.
 namespace foxtailvale::direct
 {
 
-// How many entries share a bound.
+// Number of entries that share a limit.
 struct entry_count
 {
-    // The most that were seen alive at one time; never fewer, since an entry
-    // that is cut off goes on using its part.
-    std::size_t most_seen = 0;
-    // Assumed until an agent has told who else asks it for reports.
+    // Maximum number of entries seen alive at one time. Never decreases, since
+    // an entry that is cut off continues to use its share.
+    std::size_t max_seen = 0;
+    // Used until an agent has reported which other entries subscribe to it.
     std::size_t assumed = 16;
-    // When one told first.
-    std::optional<base::time_point> told;
-    // The most that asked an entry which watches the platform.
+    // When an agent first reported other entries.
+    std::optional<base::time_point> known_since;
+    // Maximum number of entries that asked an entry which watches the platform.
     std::size_t hinted = 0;
 };
 
 std::size_t sharers(entry_count const& count);
 
-// Notes how many entries were seen alive, and how many of them stand in the own
-// failure domain, of so many domains. Domains that were not heard of count as
-// having as many entries. Failure: the entries of a domain start anew while it
-// is cut off and know of each other only; each takes a third of what a cold
-// endpoint bears, and when the cut heals the others' parts come on top.
+// Records how many entries were seen alive, how many of them are in this
+// entry's failure domain, and the number of domains. Domains without known
+// entries count as having as many entries as this one.
+//
+// Failure: the entries of a domain restart while the domain is cut off and know
+// only each other. Each takes a third of a cold endpoint's capacity, and when
+// the connection is restored the shares of all other entries come on top.
 void note_entries(
     entry_count& count,
     std::size_t alive,
@@ -47,53 +49,56 @@
     std::size_t domains,
     base::time_point now);
 
-// Bound on what a cold endpoint gets.
+// Rate limit of a cold endpoint.
 struct cold_bound
 {
     // Requests in any second, over all entries.
     double per_second = 0;
-    // Requests in any second on top of it.
+    // Additional requests allowed in any second.
     double tolerance = 0;
 };
 
-// Entries that come before others at one endpoint.
+// Entries that take precedence at one endpoint.
 struct entry_ranks
 {
-    // Of the endpoint's own failure domain; null while not known.
+    // Entries of the endpoint's own failure domain; null while unknown.
     std::set<std::string> const* near = nullptr;
-    // Of domains that have no endpoints of the service; null for none.
+    // Entries of domains that have no endpoints of the service; null for none.
     std::set<std::string> const* without_endpoints = nullptr;
-    // Differs for other such entries.
+    // Identifies the set of entries above; differs for other sets.
     std::uint64_t without_key = 0;
 };
 
-// Whether this entry sends to the endpoint at all. Where there are more entries
-// than a cold endpoint bears requests a second, each sending a single one is
-// too much: as many entries as it bears send there, others to other endpoints.
-// Which they are follows from the names alone, the same for all that know the
-// same entries. Those of the endpoint's own failure domain come first: with the
-// parts drawn from all alike, 40 entries could use half of the engines of their
-// own domain for one request a second each, which is less than they get, and
-// what they sent elsewhere crossed the links between regions.
+// Whether this entry may send to the endpoint at all. If there are more entries
+// than requests per second that a cold endpoint can handle, even one request
+// from each is too much. Then only as many entries as the endpoint can handle
+// send to it, and the others use other endpoints. The selection depends on the
+// names alone and is the same at all entries that know the same set.
+//
+// Entries of the endpoint's own failure domain take precedence. When the shares
+// were distributed over all entries alike, 40 entries could use half of the
+// engines of their own domain for one request a second each, which is less than
+// they receive, and the rest of their requests crossed the links between
+// regions.
 //
-// Three tenths are kept for entries of other domains, of these first for those
-// whose domain has no endpoints at all. Failure: 30 entries of each domain took
-// all 20 parts of its engines, and when a domain lost its own engines its
-// entries could send nowhere.
-bool has_part(
+// Three tenths of the shares are reserved for entries of other domains, and
+// among these first for entries whose domain has no endpoints. Failure: 30
+// entries of each domain held all 20 shares of its engines, and when a domain
+// lost its own engines its entries could not send anywhere.
+bool has_share(
     std::set<std::string> const& entries,
     entry_ranks const& ranks,
     std::string const& own,
     std::string const& endpoint,
     cold_bound const& bound);
 
-// What has_part said of endpoints for the entries that were known then, so that
-// a choice does not rank all entries for all endpoints. Names of all entries
-// and of a domain's are only ever added, so their counts tell whether they
-// changed.
+// Caches results of has_share for the entries known at the time, so that a
+// placement does not rank all entries for all endpoints. Names of entries are
+// only ever added, both overall and for each domain, so that the counts show
+// whether the sets have changed.
 struct share_cache
 {
-    struct answer
+    struct cached_share
     {
         std::size_t entries = 0;
         std::size_t near = 0;
@@ -102,63 +107,71 @@
     };
 
     // By endpoint.
-    std::map<std::string, answer> answers;
-    // How often has_part was asked.
-    std::size_t asked = 0;
+    std::map<std::string, cached_share> by_endpoint;
+    // Number of calls of the uncached has_share.
+    std::size_t evaluations = 0;
 };
 
-// The same as has_part, from memory where it can be. `own` and `bound` are the
-// same in all calls for an endpoint.
-bool has_part(
-    share_cache& memory,
+// Cached form of has_share. `own` and `bound` must be the same in all calls for
+// an endpoint.
+bool has_share(
+    share_cache& cache,
     std::set<std::string> const& entries,
     entry_ranks const& ranks,
     std::string const& own,
     std::string const& endpoint,
     cold_bound const& bound);
 
-// More entries than any fleet is made for.
+// Upper bound on the number of entries in a fleet.
 inline constexpr std::size_t max_entries = 512;
 
-// How many entries there may be, for one that may know few of them:
-// max_entries when no agent told of any, else from those told of and those
-// that asked a watcher, or the listed endpoints of the service if none did.
+// Returns an upper estimate of the number of entries, for an entry that may
+// know few of them: max_entries while no agent has reported any entry,
+// otherwise an estimate from the reported entries and from the entries that
+// asked a watcher, or from the listed endpoints of the service if none did.
 std::size_t assumed_entries(entry_count const& count, std::size_t endpoints);
 
-// The same as has_part for an entry that may know few of the others: by lot, as
-// if there were so many. Failure: all processes of 45 entries are killed; for a
-// second each knows some of the others, takes its part for large, and a cold
-// endpoint got 39 requests in a second where it bears 38.
+// Approximates has_share for an entry that may know few of the others: each
+// entry gets a share by a hash, with a probability that fits the assumed number
+// of entries. Failure: all processes of 45 entries are killed and restarted.
+// For a second each entry knows only some of the others and overestimates its
+// share, and a cold endpoint gets 39 requests in a second although it can
+// handle 38.
 bool has_estimated_share(
     std::string const& own,
     std::string const& endpoint,
     cold_bound const& bound,
     std::size_t assumed);
 
-// From the first word of others until an entry knows all: agents are asked
-// again after a second.
+// Time from the first report on other entries until an entry knows all of them:
+// agents are asked again after 1 s.
 inline constexpr std::chrono::milliseconds newcomer_time{1500};
 
-// Whether an entry may know few of the others still. Failures: no agent's
-// report reached any of 45 entries, each took itself for one of few, and a cold
-// endpoint got 45 requests in a second where it bears 38; entries start, agents
-// come seconds later, and their first word names few.
+// Whether an entry may still know few of the others.
+//
+// Failures: no agent's report reached any of 45 entries, each assumed that
+// there are few entries, and a cold endpoint got 45 requests in a second
+// although it can handle 38. Entries start, agents start seconds later, and
+// their first reports list few entries.
 bool is_newcomer(entry_count const& count, base::time_point now);
 
-// Whether this entry may send one more to an endpoint to which it sent at
-// these moments; at most as many entries as the endpoint bears requests a
-// second may ask. Made for a burst that meets an endpoint which has just turned
-// cold: entries hear of it up to two seconds later, so the part is kept for
-// warm endpoints too. At 8 entries, 36 a second and a tolerance of 5 a part is
-// 5 a second, three times what an endpoint's slots let through on average.
-bool may_send_within_part(
+// Whether this entry may send one more request to an endpoint to which it sent
+// requests at these times. At most as many entries may call this for an
+// endpoint as it can handle requests per second (see has_share).
+//
+// Protects an endpoint that turns cold during a burst. Entries learn of it up
+// to 2 s later, so that the limit applies to warm endpoints too. With 8
+// entries, 36 requests a second and a tolerance of 5, a share is 4 requests a
+// second, more than twice the average rate that an endpoint's slots allow an
+// entry.
+bool may_send_within_share(
     std::deque<base::time_point> const& recent,
     cold_bound const& bound,
     std::size_t entries,
     base::time_point now);
 
-// Repeats of one service, over all entries: at most a share of the requests of
-// the window and a fixed number on top.
+// Limit on the retries of one service over all entries: a share of the requests
+// in the window plus a fixed number.
 struct retry_bound
 {
     double ratio = 0.2;
@@ -166,20 +179,21 @@
     double slack = 0;
 };
 
-// Requests of this entry by second, and the moments of its repeats, oldest
-// first. Failure: repeats counted by second too dropped out of the count up to
-// a second early, and any ten seconds could hold twice what they may.
+// Requests of this entry in each second, and the times of its retries, oldest
+// first. Failure: retries that were also counted by whole seconds dropped out
+// of the count up to 1 s early, so that a window of 10 s could hold twice the
+// allowed number.
 struct retry_window
 {
-    static constexpr std::size_t most_seconds = 32;
-    std::array<std::uint32_t, most_seconds> requests{};
+    static constexpr std::size_t max_seconds = 32;
+    std::array<std::uint32_t, max_seconds> requests{};
     std::int64_t second = 0;
-    std::deque<base::time_point> repeats;
+    std::deque<base::time_point> retries;
 };
 
 void note_request(retry_window& state, base::time_point now);
 
-// Spends one repeat, or says that there is none left.
+// Consumes one retry of this entry's budget. Returns false if none is left.
 bool spend_retry(
     retry_window& state,
     retry_bound const& bound,
--- a/libs/direct/include/direct/store_fallback.hpp
+++ b/libs/direct/include/direct/store_fallback.hpp
@@ -6,49 +6,52 @@
 #include <chrono>
 #include <optional>
 
-// When an agent that no entry answers reads lists from the platform's store.
+// Decides when an agent that gets no answer from any entry reads lists from the
+// platform's store.
 //
-// Failure: agents started before their entries knew them, and each listed all
-// endpoints from the store again and again. The links between regions were
-// full, the entries behind them lost the store, and so asked no agent.
+// Failure: agents started before the entries knew them, and each agent listed
+// all endpoints from the store again and again. This filled the links between
+// regions, the entries behind them lost the connection to the store, and so
+// they contacted no agent.
 namespace foxtailvale::direct
 {
 
 // Entries that start together know all agents within this time.
-inline constexpr std::chrono::milliseconds entry_patience{4000};
+inline constexpr std::chrono::milliseconds entry_timeout{4000};
 
-// The time between two reads doubles from the one to the other: what the link
-// did not bring in time will not come sooner when it is asked for again.
-inline constexpr std::chrono::milliseconds first_store_pause{4000};
-inline constexpr std::chrono::milliseconds longest_store_pause{16000};
+// The time between two reads doubles up to a maximum: data that a congested
+// link did not deliver in time does not arrive sooner when it is requested
+// again.
+inline constexpr std::chrono::milliseconds initial_store_backoff{4000};
+inline constexpr std::chrono::milliseconds max_store_backoff{16000};
 
-// What an agent lacks.
+// What an agent is missing.
 enum class list_need
 {
-    // What its engine is to serve, which entries tell it once they know it.
+    // The model that its engine is to serve. Entries send it once they know it.
     model,
-    // Who else has the weights of a version that is named.
+    // The other agents that hold the weights of an announced version.
     transfer,
 };
 
 struct store_fallback
 {
-    // When an entry last answered, or the process started.
-    base::time_point heard;
-    // Not before then; drawn when an entry is missed.
+    // When an entry last answered, or when the process started.
+    base::time_point last_answer;
+    // Time of the next read, with random jitter; set when an entry is missed.
     std::optional<base::time_point> next;
     bool has_read = false;
-    std::chrono::milliseconds pause = first_store_pause;
+    std::chrono::milliseconds backoff = initial_store_backoff;
 };
 
-// An entry answered.
+// Records that an entry answered.
 void note_answered(store_fallback& state, base::time_point now);
 
-// Whether the store is read now; a transfer does not wait for the first read.
-// The draw, from 0 to 1, spreads agents that miss their entries at the same
-// moment; each true is one read.
+// Whether to read the store now; a transfer does not wait for its first read.
+// The jitter, from 0 to 1, spreads agents that lose their entries at the same
+// time. Each true result counts as one read.
 bool may_read_store(
-    store_fallback& state, list_need need, base::time_point now, double draw);
+    store_fallback& state, list_need need, base::time_point now, double jitter);
 
 } // namespace foxtailvale::direct
 
--- a/libs/direct/include/direct/store_restore.hpp
+++ b/libs/direct/include/direct/store_restore.hpp
@@ -7,68 +7,72 @@
 #include <string>
 #include <vector>
 
-// What an entry holds against a list of the platform's store after the store
-// has come back from a copy some seconds old.
+// Corrects lists of the platform's store after the store was restored from a
+// copy that is some seconds old.
 //
-// The copy lists endpoints that have left since, shows others as ready that
-// are leaving, and lacks failure domains that were taken out of service. Those
-// who wrote this write it again; until then what was known before holds.
+// The copy lists endpoints that have left since, shows draining endpoints as
+// ready, and lacks failure domains that were taken out of service. The writers
+// of these records write them again; until then the earlier state applies.
 // Endpoints that the copy lacks are treated as after any loss of the list.
 namespace foxtailvale::direct
 {
 
-// An endpoint that is gone falls out of the list after three heartbeats of
-// silence, and what is listed for longer lives. Heartbeats come every 1.2 s.
-inline constexpr std::chrono::milliseconds copy_time{5000};
+// A dead endpoint disappears from the list after three missed heartbeats, which
+// are sent every 1.2 s. An endpoint that is listed for longer is alive.
+inline constexpr std::chrono::milliseconds withhold_time{5000};
 
-// A failure domain that the copy lacks stays out for so long. Nothing shows
-// that it was taken back, as what the store lacks cannot be removed there.
+// How long a failure domain that the copy lacks stays out of service. Nothing
+// shows that it was returned to service, because what the store lacks cannot be
+// removed there.
 inline constexpr std::chrono::milliseconds held_out_time{30000};
 
-// Endpoints that left are remembered for longer than a copy is old.
-inline constexpr std::chrono::milliseconds left_memory{30000};
-inline constexpr std::size_t most_left = 4096;
+// How long endpoints that left are remembered; longer than the age of a copy.
+inline constexpr std::chrono::milliseconds departed_memory{30000};
+inline constexpr std::size_t max_departed = 4096;
 
-// The store came back from a copy.
-void note_store_restored(endpoint_table& book, base::time_point now);
+// Records that the store was restored from a copy.
+void note_store_restored(endpoint_table& table, base::time_point now);
 
-// Whether a list may lack endpoints that live and will write themselves again.
-bool may_lack_endpoints(endpoint_table const& book, base::time_point now);
+// Whether a list may lack live endpoints that are going to register again.
+bool may_lack_endpoints(endpoint_table const& table, base::time_point now);
 
-// An endpoint was removed from a list that can be relied on.
-void note_left(
-    endpoint_table& book, std::string const& id, base::time_point now);
+// Records that an endpoint was removed from a reliable list.
+void note_departed(
+    endpoint_table& table, std::string const& id, base::time_point now);
 
-// An endpoint is listed and believed.
-void note_present(endpoint_table& book, std::string const& id);
+// Records that an endpoint is listed and its record applied.
+void note_present(endpoint_table& table, std::string const& id);
 
-// Whether the listed record may be one of the copy that no longer holds: the
-// endpoint has left, or is leaving. It is kept back until the copy's time is
-// over.
-bool keep_back(
-    endpoint_table& book, endpoint_record const& record, base::time_point now);
+// Withholds the listed record if it may come from the copy and be out of date
+// because the endpoint has left or is draining. Returns whether it was
+// withheld; it stays so until withhold_time is over.
+bool withhold(
+    endpoint_table& table, endpoint_record const& record, base::time_point now);
 
-// The endpoint was removed: nothing is kept back for it.
-void forget_kept_back(endpoint_table& book, std::string const& id);
+// Discards the withheld record of an endpoint that was removed.
+void discard_withheld(endpoint_table& table, std::string const& id);
 
-// Records whose time to be kept back is over; they are believed from now on.
+// Returns and forgets the withheld records once withhold_time is over; they are
+// valid from then on.
 std::vector<endpoint_record>
-take_believed(endpoint_table& book, base::time_point now);
+take_released(endpoint_table& table, base::time_point now);
 
-// Takes a failure domain out of service, or back; false when nothing changed.
-bool take_out_of_service(endpoint_table& book, std::string const& domain);
-bool return_to_service(endpoint_table& book, std::string const& domain);
+// Takes a failure domain out of service or returns it. Returns false if nothing
+// changed.
+bool take_out_of_service(endpoint_table& table, std::string const& domain);
+bool return_to_service(endpoint_table& table, std::string const& domain);
 
-// Replaces the list of failure domains that are out of service. Returns those
-// that came back.
+// Replaces the list of failure domains that are out of service. Returns the
+// domains that are back in service.
 std::vector<std::string> replace_domains(
-    endpoint_table& book,
+    endpoint_table& table,
     std::set<std::string> const& listed,
     base::time_point now);
 
-// Takes back the failure domains that were held out for long enough.
+// Returns to service the failure domains whose held_out_time is over, and
+// reports them.
 std::vector<std::string>
-expire_domains(endpoint_table& book, base::time_point now);
+expire_domains(endpoint_table& table, base::time_point now);
 
 } // namespace foxtailvale::direct
 
--- a/libs/direct/include/direct/watch_duty.hpp
+++ b/libs/direct/include/direct/watch_duty.hpp
@@ -10,19 +10,22 @@
 #include <string>
 #include <vector>
 
-// Which entries watch the platform's store, and which follow those that do.
+// Decides which entries watch the platform's store and which follow the
+// watching entries.
 //
-// Made for fleets in which each entry's own watches are the largest price: 34
-// entries made 5,600 calls in a day of 45 s, an eighth of what the day was
-// worth, while the store's rates grow more slowly than the fleet. One entry of
-// each failure domain watches; the others ask it how fresh its views are.
-// Nobody is appointed: whoever hears enough others that watch may stop, whoever
-// hears too few begins, so that views which differ for a moment cost some calls
-// and nothing else.
+// Watches of every entry are the largest cost in a large fleet: 34 entries made
+// 5,600 calls in a day of 45 s, an eighth of the day's value, while the store's
+// allowed rates grow more slowly than the fleet. So one entry of each failure
+// domain watches, and the others ask it how fresh its views are.
+//
+// There is no leader election: an entry that hears from enough other watchers
+// may stop, and an entry that hears from too few starts. Entries whose
+// information differs for a moment cost some extra calls and nothing else.
 namespace foxtailvale::direct
 {
 
-// An entry that says that it watches and that the store has just answered it.
+// An entry that announced that it watches and whose last call the store has
+// just answered.
 struct live_watcher
 {
     std::string failure_domain;
@@ -33,83 +36,86 @@
 {
     std::string own;
     std::string own_domain;
-    // At most so much is added to each patience, different for each entry, so
-    // that not all begin to watch when one of them would do.
+    // Maximum addition to each time-out, different for each entry, so that not
+    // all entries start to watch when one would suffice.
     std::chrono::milliseconds jitter{0};
     bool watching = true;
-    // It has done the same since the process started.
+    // The entry has been watching, or following, since the process started.
     bool is_first = true;
-    // Entries that are asked while no watcher is known.
+    // Entries to ask while no watcher is known.
     std::vector<std::string> seeds;
-    // One of them has answered, though it may know nothing yet.
+    // A seed has answered, possibly without any information.
     bool seed_answered = false;
-    // Since when it watches, or follows.
+    // Since when the entry has been watching or following.
     base::boot_time since;
-    // When another entry last confirmed the views of this one.
-    base::boot_time followed;
-    // Since when too few watch; nothing while there are enough.
+    // When another entry last confirmed this entry's views.
+    base::boot_time views_confirmed_at;
+    // Since when there are too few watchers; nothing while there are enough.
     std::optional<base::boot_time> too_few_since;
-    // The store did not answer this entry while it answered others: it leaves
-    // the watching to them until then.
-    std::optional<base::boot_time> unfit_until;
+    // The store did not answer this entry while it answered others; the entry
+    // does not watch before this time.
+    std::optional<base::boot_time> store_backoff_until;
     // By name.
     std::map<std::string, live_watcher> watchers;
-    // Those that watch and are not answered.
-    std::map<std::string, live_watcher> lookers;
-    // Other entries of the own failure domain, as far as known.
+    // Entries that watch but get no answers from the store, by name.
+    std::map<std::string, live_watcher> unanswered;
+    // Number of other known entries of the same failure domain.
     std::size_t neighbours = 0;
 };
 
-// Watchers tell all entries that they watch this often; one that was not heard
-// for three times that is not counted.
+// Interval at which watchers announce themselves to all entries. A watcher that
+// is not heard for three intervals no longer counts.
 inline constexpr std::chrono::milliseconds announce_interval{500};
-inline constexpr std::chrono::milliseconds watcher_silence{1500};
-
-// A view that nobody confirmed for this long is confirmed by this entry itself.
-// What leaves may get requests for two seconds; a listing takes a few
-// milliseconds, and a quarter of a second when the store is slow.
-inline constexpr std::chrono::milliseconds follow_patience{900};
-
-// Fewer than two watchers, or none in the own failure domain, for this long:
-// one more begins. Not urgent, since the views are still confirmed.
-inline constexpr std::chrono::milliseconds few_patience{1000};
-inline constexpr std::size_t fewest_watchers = 2;
-
-// One that begins to watch does not stop sooner.
-inline constexpr std::chrono::milliseconds shortest_duty{3000};
-
-// A process that starts watches for itself for this long. Others that watch are
-// heard twice a second, and a listing takes a quarter of a second when the
-// store is slow. Failure: 40 entries that start together watched for three
-// seconds while all endpoints register, and made half of a calm day's calls.
-inline constexpr std::chrono::milliseconds first_duty{1200};
-
-// How long an entry that the store turns away leaves it alone.
-inline constexpr std::chrono::milliseconds unfit_time{10000};
-
-// A process that starts asks its seeds and begins to watch when none of them
-// answers for this long, or when those that do know nothing for that long.
-// Failure: 148 entries that started together watched until each had heard of
-// another, and made 27 calls each.
-inline constexpr std::chrono::milliseconds seed_patience{700};
-inline constexpr std::chrono::milliseconds answered_patience{3000};
-
-// The process starts: one without seeds, or that is a seed itself, watches.
+inline constexpr std::chrono::milliseconds watcher_timeout{1500};
+
+// If nobody confirmed a view for this long, the entry confirms it itself. An
+// endpoint that leaves may get requests for 2 s; a listing takes a few
+// milliseconds, or 250 ms when the store is slow.
+inline constexpr std::chrono::milliseconds follow_timeout{900};
+
+// If there are fewer than two watchers, or none in the entry's own failure
+// domain, for this long, one more starts. This is not urgent, since the views
+// are still confirmed.
+inline constexpr std::chrono::milliseconds too_few_timeout{1000};
+inline constexpr std::size_t min_watchers = 2;
+
+// Minimum time for which an entry watches once it has started.
+inline constexpr std::chrono::milliseconds min_watch{3000};
+
+// A process that starts watches for at least this long. It hears from other
+// watchers twice a second, and a listing takes 250 ms when the store is slow.
+// Failure: 40 entries that started together watched for 3 s while all endpoints
+// registered, and made half of the calls of a calm day.
+inline constexpr std::chrono::milliseconds min_first_watch{1200};
+
+// How long an entry that the store rejects does not call it.
+inline constexpr std::chrono::milliseconds store_backoff{10000};
+
+// A process that starts asks its seeds. It begins to watch if no seed answers
+// within seed_timeout, or if the seeds that answer have no information within
+// seed_answered_timeout. Failure: 148 entries that started together watched
+// until each had heard from another, and made 27 calls each.
+inline constexpr std::chrono::milliseconds seed_timeout{700};
+inline constexpr std::chrono::milliseconds seed_answered_timeout{3000};
+
+// Called at process start. An entry without seeds, or that is a seed itself,
+// watches.
 void begin(watch_duty& state, base::boot_time now);
 
-// While the store answers nobody, so many entries of a failure domain look for
-// it. Where there are more, one that was not answered for look_time and its
-// jitter leaves it to another: the store may turn away just those that look.
-// Failure: the store was away, and 148 entries asked it several times a second.
-inline constexpr std::size_t most_lookers = 4;
-inline constexpr std::chrono::milliseconds look_time{2500};
+// Maximum number of entries of a failure domain that probe a store which
+// answers nobody. In a larger domain, an entry that got no answer for
+// unanswered_time plus its jitter leaves the probing to another one, since the
+// store may reject just those entries that probe. Failure: the store was down,
+// and 148 entries called it several times a second.
+inline constexpr std::size_t max_unanswered = 4;
+inline constexpr std::chrono::milliseconds unanswered_time{2500};
 
-// What another entry says of its watching.
+// Watch state that another entry announced.
 enum class watch_status
 {
-    // The store has just answered it.
+    // The store has just answered the entry.
     fresh,
-    // It watches and is not answered.
+    // The entry watches but gets no answers.
     looking,
     not_watching,
 };
@@ -118,44 +124,45 @@
     watch_duty& state,
     std::string const& name,
     std::string const& failure_domain,
-    watch_status word,
+    watch_status status,
     base::boot_time now);
 
-// Another entry confirmed the views of this one.
+// Records that another entry confirmed this entry's views.
 void note_views_confirmed(watch_duty& state, base::boot_time now);
 
-// Follows others from now on; for an entry that knows nothing yet.
+// Makes this entry follow others; for an entry that has no information yet.
 void follow(watch_duty& state, base::boot_time now);
 
-// Decides anew; `fresh` says that the store has just answered this entry.
-// Returns whether it is to watch.
+// Updates the decision and returns whether this entry is to watch. `fresh` says
+// that the store has just answered it.
 bool decide(watch_duty& state, bool fresh, base::boot_time now);
 
-// Views that nobody of the own failure domain confirmed for this long are asked
-// for, and taken, in other domains: the links between them are narrow, and each
-// entry of the domain would draw the same over them.
-inline constexpr std::chrono::milliseconds near_patience{500};
+// Views that no entry of the same failure domain confirmed for this long are
+// requested and accepted from other domains. The links between domains have low
+// bandwidth, and each entry of the domain would fetch the same data over them.
+inline constexpr std::chrono::milliseconds own_domain_timeout{500};
 
-// Whether views are taken from a watcher of that failure domain now.
+// Whether views are accepted from a watcher of this failure domain now.
 bool accepts_views_from(
     watch_duty const& state,
     std::string const& failure_domain,
     base::boot_time now);
 
-// Whether entries of that failure domain are told of each change at once. Those
-// of others hear it from their own watcher.
+// Whether entries of this failure domain are notified of each change at once.
+// Entries of a domain with a watcher of its own are notified by that one.
 bool notifies_immediately(
     watch_duty const& state,
     std::string const& failure_domain,
     base::boot_time now);
 
-// Whom to ask now: two watchers, of the own failure domain while one there
-// confirms the views; all seeds while no watcher is known.
+// Returns the entries to ask now: two watchers, of this entry's own failure
+// domain while a watcher there confirms the views; all seeds while no watcher
+// is known.
 std::vector<std::string> asked(watch_duty const& state, base::boot_time now);
 
-// Whom to ask, best first: watchers of the own failure domain, then others, in
-// an order of this entry's own so that not all ask the same; seeds while no
-// watcher is known.
+// Returns the entries to ask, best first: watchers of this entry's own failure
+// domain, then others, in an order that differs between entries so that they do
+// not all ask the same one; seeds while no watcher is known.
 std::vector<std::string> sources(watch_duty const& state, base::boot_time now);
 
 } // namespace foxtailvale::direct
--- a/libs/direct/src/attempt_limit.cpp
+++ b/libs/direct/src/attempt_limit.cpp
@@ -11,29 +11,29 @@
 using routing::repetition;
 using std::chrono::milliseconds;
 
-// Time to the first byte after which a silent endpoint is given up, for
-// requests that may run twice: one that sends to nobody is gone, one that sends
-// to others has the request in its queue. Failure: under full load requests
-// were given up while they waited, and each repeat took the place of another.
+// Time to the first byte after which a request that may run twice leaves an
+// unresponsive endpoint. An endpoint that sends to nobody is lost; one that
+// sends to other callers has the request in its queue. Failure: under full load
+// queued requests were timed out, and each retry displaced another request.
 constexpr int first_byte_goals = 2;
-constexpr milliseconds least_first_byte{600};
-constexpr milliseconds longest_first_byte{1600};
+constexpr milliseconds min_first_byte{600};
+constexpr milliseconds max_first_byte{1600};
 
-// Silence in the middle of a stream after which it goes on elsewhere: callers
-// count a pause over the route's gap goal as late, and endpoints that are
-// merely busy pause for less than this.
+// Gap in a stream after which it is resumed elsewhere. Callers count a gap
+// above the route's goal as late, and endpoints that are merely busy pause for
+// less than this.
 constexpr int gap_goals = 3;
-constexpr milliseconds least_gap{700};
+constexpr milliseconds min_gap{700};
 
-// Callers of a stream leave after this silence, also before its first event:
-// the longest of the three.
-constexpr milliseconds least_patience{2000};
-constexpr int patience_goals = 4;
-constexpr int patience_gaps = 8;
+// Callers of a stream disconnect after this time without an event, also before
+// the first one: the longest of the three values.
+constexpr milliseconds min_caller_timeout{2000};
+constexpr int caller_timeout_goals = 4;
+constexpr int caller_timeout_gaps = 8;
 
-// The caller is told this long before, with the answer on its way for a few
-// milliseconds.
-constexpr milliseconds told_ahead{300};
+// The caller is notified this long before it would disconnect; the answer takes
+// a few milliseconds to arrive.
+constexpr milliseconds notify_margin{300};
 
 bool is_last_attempt(attempt_progress const& attempt)
 {
@@ -42,40 +42,43 @@
                std::max<std::uint32_t>(attempt.most_attempts, 1);
 }
 
-// When an attempt that may be followed by another, of this entry or of the
-// caller, has been silent for long enough.
-base::time_point silence_limit(attempt_progress const& attempt)
+// Returns when an attempt that this entry or the caller can retry has been
+// unresponsive for long enough.
+base::time_point silence_deadline(attempt_progress const& attempt)
 {
     if (attempt.events > 0)
     {
-        auto const gap = std::max(least_gap, attempt.gap_goal * gap_goals);
+        auto const gap = std::max(min_gap, attempt.gap_goal * gap_goals);
         return attempt.last_byte + (attempt.lost ? gap : 2 * gap);
     }
-    auto const soon =
-        std::max(least_first_byte, attempt.goal * first_byte_goals);
+    auto const first_byte =
+        std::max(min_first_byte, attempt.goal * first_byte_goals);
     return attempt.begun +
-           (attempt.lost ? soon : std::max(soon, longest_first_byte));
+           (attempt.lost ? first_byte : std::max(first_byte, max_first_byte));
 }
 
-// When the caller of a stream hears that the endpoint is lost at the latest.
-base::time_point told_by(attempt_progress const& attempt)
+// Returns the latest time at which the caller of a stream must be told that the
+// endpoint is lost.
+base::time_point notify_by(attempt_progress const& attempt)
 {
-    auto const patience = std::max(
-        {least_patience, attempt.goal * patience_goals,
-         attempt.gap_goal * patience_gaps});
-    return attempt.caller_heard + patience - told_ahead;
+    auto const caller_timeout = std::max(
+        {min_caller_timeout, attempt.goal * caller_timeout_goals,
+         attempt.gap_goal * caller_timeout_gaps});
+    return attempt.caller_heard + caller_timeout - notify_margin;
 }
 
 } // namespace
 
 bool is_lost(endpoint_state const& state, base::time_point now)
 {
-    auto const agent_silent = state.report && !is_fresh(state, now);
-    auto const agent_says = is_fresh(state, now) && state.report->unreachable;
-    return is_stalled(state, now) || agent_silent || agent_says;
+    auto const agent_unresponsive = state.report && !is_fresh(state, now);
+    auto const engine_unreachable =
+        is_fresh(state, now) && state.report->unreachable;
+    return is_stalled(state, now) || agent_unresponsive || engine_unreachable;
 }
 
-std::optional<base::time_point> attempt_deadline(attempt_progress const& attempt)
+std::optional<base::time_point>
+attempt_deadline(attempt_progress const& attempt)
 {
     auto const is_last = is_last_attempt(attempt);
     if (is_last && !attempt.lost)
@@ -84,13 +87,14 @@
     }
     if (attempt.repeats == repetition::non_idempotent)
     {
-        // A plain request cannot be asked again by anybody; an answer may still
-        // come before its caller's time is up.
-        return attempt.streams ? std::optional(told_by(attempt)) : std::nullopt;
+        // A plain request cannot be retried by anybody, and its answer may
+        // still arrive before the caller's deadline.
+        return attempt.streams ? std::optional(notify_by(attempt))
+                               : std::nullopt;
     }
-    auto const silent_until = silence_limit(attempt);
+    auto const silent_until = silence_deadline(attempt);
     return attempt.streams && attempt.lost
-               ? std::min(silent_until, told_by(attempt))
+               ? std::min(silent_until, notify_by(attempt))
                : silent_until;
 }
 
--- a/libs/direct/src/endpoint_table.cpp
+++ b/libs/direct/src/endpoint_table.cpp
@@ -10,35 +10,37 @@
 namespace
 {
 
-// Weight of the latest answer in the share of faults: about ten answers judge
-// an endpoint.
-constexpr double fault_weight = 0.1;
+// Weight of the latest answer in the share of faults: an endpoint is rated by
+// about its last ten answers.
+constexpr double latest_fault_weight = 0.1;
 
-// A fault counts half after this time, so that an endpoint that recovered is
-// tried again.
+// The weight of faults halves in this time, so that an endpoint that has
+// recovered is tried again.
 constexpr std::chrono::duration<double> fault_half_life{3};
 
-constexpr std::chrono::milliseconds first_avoidance{300};
-constexpr std::chrono::milliseconds longest_avoidance{2400};
+constexpr std::chrono::milliseconds initial_avoidance{300};
+constexpr std::chrono::milliseconds max_avoidance{2400};
 
-// An endpoint that said that it is full ends a request about this soon.
+// An endpoint that rejected a request as full completes another one within
+// about this time.
 constexpr std::chrono::milliseconds full_avoidance{60};
 
-// An endpoint that holds other weights than listed. Failure: all machines lose
-// power, engines come back empty while the list still shows what they held, and
-// every request is turned away until the repeats of ten seconds are spent. The
-// list, or the agent, says within this time what it holds.
+// For endpoints that hold other weights than listed. The list, or the agent,
+// shows the actual weights within this time. Failure: all machines lose power
+// and engines restart empty while the list still shows their former weights;
+// every request is rejected until the retry budget of 10 s is spent.
 constexpr std::chrono::milliseconds misdirected_avoidance{1000};
 
-// Own sends are kept for as long as any share of a cold limit looks back.
+// Send times are kept for at least as long as any check of a cold endpoint's
+// limit looks back.
 constexpr std::chrono::seconds recent_time{3};
 
-// An endpoint that crashed is found gone within this time: by the next
-// connection, by its agent, or by the list, which misses three heartbeats.
-constexpr std::chrono::milliseconds cut_memory{5000};
+// A crash of an endpoint is detected within this time: by the next connection,
+// by its agent, or by the list after three missed heartbeats.
+constexpr std::chrono::milliseconds lost_answer_memory{5000};
 
-// Agents report ten times a second; the ways of one report through two entries
-// differ by less than half of that.
+// Tolerance for equal reports. Agents report ten times a second; the delays of
+// one report over two entries differ by less than half of that interval.
 constexpr std::chrono::milliseconds same_report{50};
 
 std::string_view ip_of(std::string_view address)
@@ -46,7 +48,7 @@
     return address.substr(0, address.rfind(':'));
 }
 
-void fade_faults(endpoint_state& state, base::time_point now)
+void decay_faults(endpoint_state& state, base::time_point now)
 {
     auto const passed = std::chrono::duration<double>(now - state.last_fault);
     state.fault_share *= std::exp2(-(passed / fault_half_life));
@@ -55,9 +57,9 @@
 
 void note_answer(endpoint_state& state, bool fault, base::time_point now)
 {
-    fade_faults(state, now);
+    decay_faults(state, now);
     state.fault_share +=
-        fault_weight * ((fault ? 1.0 : 0.0) - state.fault_share);
+        latest_fault_weight * ((fault ? 1.0 : 0.0) - state.fault_share);
 }
 
 void take_report(
@@ -69,10 +71,10 @@
     }
     state.report = report;
     state.reported = now;
-    state.own_change = 0;
+    state.own_delta = 0;
 }
 
-// Own requests begun after that moment.
+// Returns the number of this entry's requests that began after this time.
 std::int32_t begun_since(endpoint_state const& state, base::time_point then)
 {
     return static_cast<std::int32_t>(std::ranges::count_if(
@@ -83,23 +85,24 @@
         }));
 }
 
-std::optional<base::time_point> earliest_of_newer(
-    endpoint_table const& book,
+std::optional<base::time_point> earliest_among_newer(
+    endpoint_table const& table,
     std::string const& model,
     std::uint64_t version,
-    base::time_point named_version::*which)
+    base::time_point announced_version::*which)
 {
     std::optional<base::time_point> earliest;
-    auto const found = book.versions.find(model);
-    if (found == book.versions.end())
+    auto const found = table.versions.find(model);
+    if (found == table.versions.end())
     {
         return earliest;
     }
-    for (auto const& named : found->second)
+    for (auto const& announced : found->second)
     {
-        if (named.version > version)
+        if (announced.version > version)
         {
-            earliest = std::min(earliest.value_or(named.*which), named.*which);
+            earliest =
+                std::min(earliest.value_or(announced.*which), announced.*which);
         }
     }
     return earliest;
@@ -107,16 +110,17 @@
 
 } // namespace
 
-bool participates_in_transfer(endpoint_record const& endpoint, std::string const& service)
+bool participates_in_transfer(
+    endpoint_record const& endpoint, std::string const& service)
 {
     return endpoint.service == service && !endpoint.draining;
 }
 
-bool put(endpoint_table& book, endpoint_record record)
+bool put(endpoint_table& table, endpoint_record record)
 {
-    note_present(book, record.id);
-    auto& state = book.endpoints[record.id];
-    state.lapses.reset();
+    note_present(table, record.id);
+    auto& state = table.endpoints[record.id];
+    state.removal_due.reset();
     if (state.listed == record)
     {
         return false;
@@ -134,31 +138,31 @@
 }
 
 void remove(
-    endpoint_table& book,
+    endpoint_table& table,
     std::string const& id,
     bool list_was_lost,
     base::time_point now)
 {
-    forget_kept_back(book, id);
-    auto const found = book.endpoints.find(id);
-    if (found == book.endpoints.end())
+    discard_withheld(table, id);
+    auto const found = table.endpoints.find(id);
+    if (found == table.endpoints.end())
     {
         return;
     }
     if (list_was_lost && !found->second.listed.draining)
     {
-        if (!found->second.lapses)
+        if (!found->second.removal_due)
         {
-            found->second.lapses = now + lapse_time;
+            found->second.removal_due = now + removal_grace;
         }
         return;
     }
-    note_left(book, id, now);
-    book.endpoints.erase(found);
+    note_departed(table, id, now);
+    table.endpoints.erase(found);
 }
 
 void replace_all(
-    endpoint_table& book,
+    endpoint_table& table,
     std::vector<endpoint_record> records,
     bool list_was_lost,
     base::time_point now)
@@ -167,57 +171,57 @@
     for (auto& record : records)
     {
         listed.insert(record.id);
-        if (!keep_back(book, record, now))
+        if (!withhold(table, record, now))
         {
-            put(book, std::move(record));
+            put(table, std::move(record));
         }
     }
     std::vector<std::string> missing;
-    for (auto const& [id, state] : book.endpoints)
+    for (auto const& [id, state] : table.endpoints)
     {
         if (!listed.contains(id))
         {
             missing.push_back(id);
         }
     }
-    auto const may_lack = list_was_lost || may_lack_endpoints(book, now);
+    auto const may_lack = list_was_lost || may_lack_endpoints(table, now);
     for (auto const& id : missing)
     {
-        remove(book, id, may_lack, now);
+        remove(table, id, may_lack, now);
     }
 }
 
-std::size_t count_of(endpoint_table const& book, std::string const& service)
+std::size_t count_of(endpoint_table const& table, std::string const& service)
 {
     return static_cast<std::size_t>(std::ranges::count_if(
-        book.endpoints,
+        table.endpoints,
         [&service](auto const& entry)
         {
             return entry.second.listed.service == service;
         }));
 }
 
-void expire(endpoint_table& book, base::time_point now)
+void expire(endpoint_table& table, base::time_point now)
 {
     std::erase_if(
-        book.endpoints,
+        table.endpoints,
         [now](auto const& entry)
         {
-            return entry.second.lapses && *entry.second.lapses <= now;
+            return entry.second.removal_due && *entry.second.removal_due <= now;
         });
-    for (auto& record : take_believed(book, now))
+    for (auto& record : take_released(table, now))
     {
-        put(book, std::move(record));
+        put(table, std::move(record));
     }
 }
 
 void note_report(
-    endpoint_table& book,
+    endpoint_table& table,
     std::string const& address,
     load_report const& report,
     base::time_point now)
 {
-    for (auto& [id, state] : book.endpoints)
+    for (auto& [id, state] : table.endpoints)
     {
         if (ip_of(state.listed.address) == address)
         {
@@ -227,62 +231,71 @@
 }
 
 void note_relayed_report(
-    endpoint_table& book,
+    endpoint_table& table,
     std::string const& address,
     load_report const& report,
     base::time_point as_of)
 {
-    for (auto& [id, state] : book.endpoints)
+    for (auto& [id, state] : table.endpoints)
     {
         if (ip_of(state.listed.address) == address &&
             (!state.report || as_of > state.reported + same_report))
         {
             take_report(state, report, as_of);
-            state.own_change = begun_since(state, as_of);
+            state.own_delta = begun_since(state, as_of);
         }
     }
 }
 
 bool announce_version(
-    endpoint_table& book, std::string const& model, named_version const& named)
+    endpoint_table& table,
+    std::string const& model,
+    announced_version const& announced)
 {
-    auto& known = book.versions[model];
-    if (!known.empty() && known.back().version >= named.version)
+    auto& known = table.versions[model];
+    if (!known.empty() && known.back().version >= announced.version)
     {
         return false;
     }
-    known.push_back(named);
+    known.push_back(announced);
     return true;
 }
 
-void note_suspended(endpoint_table& book, std::chrono::milliseconds time)
+void note_suspended(endpoint_table& table, std::chrono::milliseconds time)
 {
-    for (auto& [model, known] : book.versions)
+    for (auto& [model, known] : table.versions)
     {
-        for (auto& named : known)
+        for (auto& announced : known)
         {
-            named.learned -= time;
-            named.older_until -= time;
+            announced.learned -= time;
+            announced.predecessor_retires_at -= time;
         }
     }
 }
 
 std::optional<base::time_point> version_retires_at(
-    endpoint_table const& book, std::string const& model, std::uint64_t version)
+    endpoint_table const& table,
+    std::string const& model,
+    std::uint64_t version)
 {
-    return earliest_of_newer(book, model, version, &named_version::older_until);
+    return earliest_among_newer(
+        table, model, version, &announced_version::predecessor_retires_at);
 }
 
 std::optional<base::time_point> superseded_at(
-    endpoint_table const& book, std::string const& model, std::uint64_t version)
+    endpoint_table const& table,
+    std::string const& model,
+    std::uint64_t version)
 {
-    return earliest_of_newer(book, model, version, &named_version::learned);
+    return earliest_among_newer(
+        table, model, version, &announced_version::learned);
 }
 
-void note_request_begun(endpoint_table& book, std::string const& id, base::time_point now)
+void note_request_begun(
+    endpoint_table& table, std::string const& id, base::time_point now)
 {
-    auto const found = book.endpoints.find(id);
-    if (found == book.endpoints.end())
+    auto const found = table.endpoints.find(id);
+    if (found == table.endpoints.end())
     {
         return;
     }
@@ -292,7 +305,7 @@
         state.last_heard = now;
     }
     ++state.own_running;
-    ++state.own_change;
+    ++state.own_delta;
     state.recent.push_back(now);
     while (state.recent.front() + recent_time < now)
     {
@@ -301,91 +314,92 @@
 }
 
 void note_request_ended(
-    endpoint_table& book,
+    endpoint_table& table,
     std::string const& id,
-    request_outcome how,
+    request_outcome outcome,
     base::time_point now)
 {
-    auto const found = book.endpoints.find(id);
-    if (found == book.endpoints.end())
+    auto const found = table.endpoints.find(id);
+    if (found == table.endpoints.end())
     {
         return;
     }
     auto& state = found->second;
     state.own_running -= std::min<std::uint32_t>(1, state.own_running);
-    --state.own_change;
-    if (how == request_outcome::answered || how == request_outcome::faulty)
+    --state.own_delta;
+    if (outcome == request_outcome::answered ||
+        outcome == request_outcome::faulty)
     {
-        note_answer(state, how == request_outcome::faulty, now);
+        note_answer(state, outcome == request_outcome::faulty, now);
     }
-    if (how == request_outcome::answered)
+    if (outcome == request_outcome::answered)
     {
         state.connect_faults = 0;
     }
-    if (how == request_outcome::declined)
+    if (outcome == request_outcome::declined)
     {
         state.avoid_until = now + full_avoidance;
     }
-    if (how == request_outcome::misdirected)
+    if (outcome == request_outcome::misdirected)
     {
         state.avoid_until = now + misdirected_avoidance;
     }
-    if (how == request_outcome::not_connected)
+    if (outcome == request_outcome::not_connected)
     {
         auto const doublings = std::min<std::uint32_t>(state.connect_faults, 3);
         state.avoid_until =
             now + std::min<std::chrono::milliseconds>(
-                      first_avoidance * (1 << doublings), longest_avoidance);
+                      initial_avoidance * (1 << doublings), max_avoidance);
         ++state.connect_faults;
     }
 }
 
 void note_lost_answer(
-    endpoint_table& book,
+    endpoint_table& table,
     std::string const& id,
     std::uint64_t request,
     base::time_point now)
 {
-    auto const found = book.endpoints.find(id);
-    if (found == book.endpoints.end())
+    auto const found = table.endpoints.find(id);
+    if (found == table.endpoints.end())
     {
         return;
     }
-    auto& cuts = found->second.cuts;
+    auto& lost_answers = found->second.lost_answers;
     std::erase_if(
-        cuts,
-        [now](auto const& cut)
+        lost_answers,
+        [now](auto const& lost)
         {
-            return cut.second + cut_memory < now;
+            return lost.second + lost_answer_memory < now;
         });
-    cuts.emplace_back(request, now);
+    lost_answers.emplace_back(request, now);
 }
 
-std::vector<std::uint64_t>
-take_lost_answers(endpoint_table& book, std::string const& id, base::time_point now)
+std::vector<std::uint64_t> take_lost_answers(
+    endpoint_table& table, std::string const& id, base::time_point now)
 {
     std::vector<std::uint64_t> requests;
-    auto const found = book.endpoints.find(id);
-    if (found == book.endpoints.end())
+    auto const found = table.endpoints.find(id);
+    if (found == table.endpoints.end())
     {
         return requests;
     }
-    for (auto const& [request, at] : found->second.cuts)
+    for (auto const& [request, at] : found->second.lost_answers)
     {
-        if (at + cut_memory >= now)
+        if (at + lost_answer_memory >= now)
         {
             requests.push_back(request);
         }
     }
-    found->second.cuts.clear();
+    found->second.lost_answers.clear();
     return requests;
 }
 
 void note_heard(
-    endpoint_table& book, std::string const& id, base::time_point now)
+    endpoint_table& table, std::string const& id, base::time_point now)
 {
-    auto const found = book.endpoints.find(id);
-    if (found != book.endpoints.end())
+    auto const found = table.endpoints.find(id);
+    if (found != table.endpoints.end())
     {
         found->second.last_heard = now;
         found->second.last_sent = now;
@@ -402,7 +416,7 @@
     return state.report && now - state.reported <= report_timeout;
 }
 
-bool is_silent(endpoint_state const& state, base::time_point now)
+bool is_unresponsive(endpoint_state const& state, base::time_point now)
 {
     return state.report && !is_fresh(state, now) &&
            now - state.last_sent > report_timeout;
--- a/libs/direct/src/placement.cpp
+++ b/libs/direct/src/placement.cpp
@@ -15,146 +15,154 @@
 // Added to the relative load of an endpoint in another failure domain.
 constexpr double remote_cost = 0.25;
 
-// Added where answers are mostly faults or the agent is silent; more than any
-// relative load, so that such an endpoint comes after all others.
+// Added if answers are mostly faulty or the agent is unresponsive. Exceeds any
+// relative load, so that such endpoints rank last.
 constexpr double distrust_cost = 10;
 
-// Share of faults beyond which an endpoint is distrusted: more than plain
-// services fail by themselves.
-constexpr double most_faults = 0.3;
+// Share of faulty answers above which an endpoint is distrusted; higher than
+// the usual error rate of plain services.
+constexpr double max_fault_share = 0.3;
 
 constexpr double random_share = 0.05;
 
-// Entries that may send to an endpoint for each free slot, and how long a draw
-// counts: the agents of the own failure domain report as often.
+// Number of entries that may send to an endpoint for each free slot, and how
+// long a drawing is valid: the interval of the reports from agents of the same
+// failure domain.
 constexpr double entries_per_slot = 4;
-constexpr std::chrono::milliseconds lot_time{100};
+constexpr std::chrono::milliseconds lottery_interval{100};
 
-// Requests that are done by a version's end at no moment are sent to it until
-// this long before: time enough to begin.
-constexpr std::chrono::milliseconds long_notice{3000};
+// Requests that are too long to ever complete before a version retires may be
+// sent to it until this long before that time, which leaves enough time to
+// start.
+constexpr std::chrono::milliseconds long_request_margin{3000};
 
-double draw(base::random_state& random)
+double random_fraction(base::random_state& random)
 {
     constexpr std::uint64_t steps = 1024;
     return static_cast<double>(base::random_below(random, steps)) /
            static_cast<double>(steps);
 }
 
-// Whether the endpoint could take such a request at all.
+// Whether the endpoint can take such a request at all.
 bool is_listed_for(
-    endpoint_table const& book,
+    endpoint_table const& table,
     endpoint_state const& state,
-    placement_query const& ask)
+    placement_query const& query)
 {
     auto const& listed = state.listed;
-    if (listed.service != ask.service || listed.draining ||
-        book.domains_out.contains(listed.failure_domain))
+    if (listed.service != query.service || listed.draining ||
+        table.domains_out.contains(listed.failure_domain))
     {
         return false;
     }
-    if (ask.regions.empty())
+    if (query.regions.empty())
     {
         return true;
     }
-    auto const region = book.regions.find(listed.failure_domain);
-    return region != book.regions.end() && ask.regions.contains(region->second);
+    auto const region = table.regions.find(listed.failure_domain);
+    return region != table.regions.end() &&
+           query.regions.contains(region->second);
 }
 
-// How long a request may wait at the endpoint before it begins. What is sent
-// later than that before a version's end is mostly turned away there.
+// Estimates how long a request waits at the endpoint before it starts. An
+// endpoint mostly rejects requests that arrive later than that before its
+// version retires.
 base::duration time_to_begin(
     endpoint_state const& state, std::size_t entries, base::time_point now)
 {
-    constexpr std::chrono::milliseconds with_a_slot{450};
-    constexpr std::chrono::milliseconds in_line{500};
-    // Each of many entries may have sent one more on the same report; lots
-    // bound how many do, however many entries there are.
+    constexpr std::chrono::milliseconds with_free_slot{450};
+    constexpr std::chrono::milliseconds per_queued{500};
+    // Each of many entries may have sent one more request on the same report.
+    // wins_lottery limits how many do so, regardless of the number of entries.
     constexpr std::size_t few_entries = 8;
-    constexpr std::size_t most_more = 32;
-    constexpr std::chrono::milliseconds each_more{25};
+    constexpr std::size_t max_more = 32;
+    constexpr std::chrono::milliseconds per_other_entry{25};
     auto const others = entries - std::min(entries, few_entries);
-    auto const more = each_more * static_cast<int>(std::min(others, most_more));
+    auto const more =
+        per_other_entry * static_cast<int>(std::min(others, max_more));
     auto const work = work_at(state, entries, now);
     auto const slots = state.listed.slots;
-    auto const begins = with_a_slot + more;
-    return work < slots ? begins : begins + in_line * (work - slots + 1);
+    auto const begins = with_free_slot + more;
+    return work < slots ? begins : begins + per_queued * (work - slots + 1);
 }
 
-// Whether the request is likely to be done when the endpoint's version ends, so
-// that this end can be its deadline.
+// Whether the request will probably complete before the endpoint's version
+// retires, so that this time can be its deadline.
 bool is_done_by(
-    base::time_point ends, placement_query const& ask, base::time_point now)
+    base::time_point ends, placement_query const& query, base::time_point now)
 {
-    return now + ask.expected < ends;
+    return now + query.expected < ends;
 }
 
-// Whether a request needs longer than the version may be used after the next
-// one's naming, so that it is done by the end at no moment after that.
+// Whether a request takes longer than the whole time for which the version may
+// be used after the next one was announced, so that it could not complete at
+// any time since.
 bool never_fits(
-    endpoint_table const& book,
-    placement_query const& ask,
+    endpoint_table const& table,
+    placement_query const& query,
     std::uint64_t version,
     base::time_point ends)
 {
-    auto const named = superseded_at(book, ask.model, version);
-    return named && *named + ask.expected >= ends;
+    auto const announced = superseded_at(table, query.model, version);
+    return announced && *announced + query.expected >= ends;
 }
 
-// Whether a request may be sent to an endpoint whose version ends.
-bool may_go_before(
+// Whether a request may be sent to an endpoint whose version is going to
+// retire.
+bool may_start_before(
     base::time_point ends,
-    endpoint_table const& book,
+    endpoint_table const& table,
     endpoint_state const& state,
-    placement_query const& ask,
+    placement_query const& query,
     base::time_point now)
 {
-    if (now + time_to_begin(state, ask.entries, now) >= ends)
+    if (now + time_to_begin(state, query.entries, now) >= ends)
     {
         return false;
     }
-    // A stream that goes on has nowhere else to go.
-    if (ask.version != 0 || is_done_by(ends, ask, now))
+    // A stream that continues on this version has no alternative.
+    if (query.version != 0 || is_done_by(ends, query, now))
     {
         return true;
     }
     auto const version = weights_of(state, now).version;
-    return never_fits(book, ask, version, ends) && now + long_notice <= ends;
+    return never_fits(table, query, version, ends) &&
+           now + long_request_margin <= ends;
 }
 
 bool has_weights(
-    endpoint_table const& book,
+    endpoint_table const& table,
     endpoint_state const& state,
-    placement_query const& ask,
+    placement_query const& query,
     base::time_point now)
 {
-    if (ask.model.empty())
+    if (query.model.empty())
     {
         return true;
     }
-    // Failure: all machines lose power, engines come back empty at the same
-    // addresses, and entries that have just started go by the list, which still
-    // shows what they held. Each request was turned away, and the repeats of
-    // the next ten seconds were spent on that. An agent that lives reports
-    // within half a second.
-    if (ask.newcomer && !state.report)
+    // Failure: all machines lose power, engines restart empty at the same
+    // addresses, and entries that have just started rely on the list, which
+    // still shows the former weights. Every request was rejected, which spent
+    // the retry budget of the next 10 s. A live agent reports within 0.5 s.
+    if (query.newcomer && !state.report)
     {
         return false;
     }
     auto const& weights = weights_of(state, now);
-    if (!weights.whole || weights.model != ask.model)
+    if (!weights.whole || weights.model != query.model)
     {
         return false;
     }
-    if (ask.version != 0 && weights.version != ask.version)
+    if (query.version != 0 && weights.version != query.version)
     {
         return false;
     }
-    auto const ends = version_retires_at(book, ask.model, weights.version);
-    return !ends || may_go_before(*ends, book, state, ask, now);
+    auto const ends = version_retires_at(table, query.model, weights.version);
+    return !ends || may_start_before(*ends, table, state, query, now);
 }
 
-// Slots that the last report left free, over all entries.
+// Returns the number of free slots according to the last report, counting the
+// requests of all entries.
 std::int64_t free_slots(endpoint_state const& state, std::int32_t depth)
 {
     auto const used = static_cast<std::int64_t>(state.report->running) +
@@ -162,65 +170,69 @@
     return static_cast<std::int64_t>(state.listed.slots) + depth - used;
 }
 
-// Whether this entry may send to the endpoint in this tenth of a second. All
-// entries see the same report, so where few slots are free all of them would
-// send there at once, and the requests wait for each other at the endpoint. As
-// many entries as there are free slots, and some more since not all have a
-// request, draw the lot; the next draw is a tenth of a second later.
-bool draws_lot(
-    endpoint_state const& state, placement_query const& ask, base::time_point now)
+// Whether this entry may send to the endpoint in the current interval of 0.1 s.
+// All entries see the same report. If few slots are free, all entries would
+// send at once, and the requests would queue at the endpoint. A hash selects as
+// many entries as there are free slots, and some more since not every entry has
+// a request; the next interval selects others.
+bool wins_lottery(
+    endpoint_state const& state,
+    placement_query const& query,
+    base::time_point now)
 {
-    if (ask.entries <= 1 || !is_fresh(state, now))
+    if (query.entries <= 1 || !is_fresh(state, now))
     {
         return true;
     }
     auto const share = entries_per_slot *
-                       static_cast<double>(free_slots(state, ask.depth)) /
-                       static_cast<double>(ask.entries);
+                       static_cast<double>(free_slots(state, query.depth)) /
+                       static_cast<double>(query.entries);
     if (share >= 1)
     {
         return true;
     }
-    auto const draw = now.time_since_epoch() / lot_time;
-    auto const lot = base::stable_hash(
-        ask.own_entry + "/" + state.listed.id,
-        static_cast<std::uint64_t>(draw));
+    auto const round = now.time_since_epoch() / lottery_interval;
+    auto const ticket = base::stable_hash(
+        query.own_entry + "/" + state.listed.id,
+        static_cast<std::uint64_t>(round));
     constexpr std::uint64_t steps = 1024;
-    return static_cast<double>(lot % steps) / steps < share;
+    return static_cast<double>(ticket % steps) / steps < share;
 }
 
-// Whether this entry may try an endpoint that fell silent: one of all entries a
-// second, on average, and none that waits for an answer there. Failure: engines
-// stood still, and what entries had gone on sending to them ran at their
-// return, after its callers had left.
-bool may_try(
-    endpoint_state const& state, placement_query const& ask, base::time_point now)
+// Whether this entry may probe an endpoint that has become unresponsive: on
+// average one of all entries per second, and never while this entry waits for
+// an answer from it. Failure: entries continued to send to paused engines,
+// which ran the requests when they resumed, after the callers had disconnected.
+bool may_probe(
+    endpoint_state const& state,
+    placement_query const& query,
+    base::time_point now)
 {
     if (state.own_running > 0)
     {
         return false;
     }
     auto const second = std::chrono::floor<std::chrono::seconds>(now);
-    auto const lot = base::stable_hash(
-        ask.own_entry + "/" + state.listed.id,
+    auto const ticket = base::stable_hash(
+        query.own_entry + "/" + state.listed.id,
         static_cast<std::uint64_t>(second.time_since_epoch().count()));
-    return lot % std::max<std::size_t>(ask.entries, 1) == 0;
+    return ticket % std::max<std::size_t>(query.entries, 1) == 0;
 }
 
-// Entries of failure domains in which nothing can serve the request.
-std::set<std::string>
-entries_without_endpoints(endpoint_table const& book, placement_query const& ask)
+// Returns the entries of failure domains without an endpoint for the request.
+std::set<std::string> entries_without_endpoints(
+    endpoint_table const& table, placement_query const& query)
 {
     std::set<std::string_view> served;
-    for (auto const& [id, state] : book.endpoints)
+    for (auto const& [id, state] : table.endpoints)
     {
-        if (is_listed_for(book, state, ask))
+        if (is_listed_for(table, state, query))
         {
             served.insert(state.listed.failure_domain);
         }
     }
     std::set<std::string> found;
-    for (auto const& [domain, entries] : book.domain_entries)
+    for (auto const& [domain, entries] : table.domain_entries)
     {
         if (!served.contains(domain))
         {
@@ -240,29 +252,29 @@
     return key;
 }
 
-// Whether this entry is one of those that share what the endpoint bears.
-bool takes_part_of(
+// Whether this entry has a share of the endpoint's capacity.
+bool has_share_of(
     endpoint_state const& state,
-    placement_query const& ask,
+    placement_query const& query,
     entry_ranks const& ranks)
 {
     share_cache none;
-    return has_part(
-        ask.parts != nullptr ? *ask.parts : none, *ask.all_entries, ranks,
-        ask.own_entry, state.listed.id, ask.cold);
+    return has_share(
+        query.parts != nullptr ? *query.parts : none, *query.all_entries, ranks,
+        query.own_entry, state.listed.id, query.cold);
 }
 
-bool takes_work(
+bool can_accept(
     endpoint_state const& state,
-    placement_query const& ask,
+    placement_query const& query,
     entry_ranks const& ranks,
     base::time_point now)
 {
-    if (state.avoid_until > now || !draws_lot(state, ask, now))
+    if (state.avoid_until > now || !wins_lottery(state, query, now))
     {
         return false;
     }
-    if (is_silent(state, now) && !may_try(state, ask, now))
+    if (is_unresponsive(state, now) && !may_probe(state, query, now))
     {
         return false;
     }
@@ -271,39 +283,40 @@
     {
         return false;
     }
-    if (is_fresh(state, now) && state.report->switches_at && ask.version == 0 &&
-        now + ask.expected > *state.report->switches_at)
+    if (is_fresh(state, now) && state.report->switches_at &&
+        query.version == 0 && now + query.expected > *state.report->switches_at)
     {
         return false;
     }
-    auto const sharing = ask.newcomer ? ask.assumed_entries : ask.entries;
-    if (ask.newcomer &&
-        !has_estimated_share(ask.own_entry, state.listed.id, ask.cold, sharing))
+    auto const sharing = query.newcomer ? query.assumed_entries : query.entries;
+    if (query.newcomer &&
+        !has_estimated_share(
+            query.own_entry, state.listed.id, query.cold, sharing))
     {
         return false;
     }
-    if (!may_send_within_part(state.recent, ask.cold, sharing, now))
+    if (!may_send_within_share(state.recent, query.cold, sharing, now))
     {
         return false;
     }
-    if (static_cast<std::int64_t>(work_at(state, ask.entries, now)) >=
-        static_cast<std::int64_t>(state.listed.slots) + ask.depth)
+    if (static_cast<std::int64_t>(work_at(state, query.entries, now)) >=
+        static_cast<std::int64_t>(state.listed.slots) + query.depth)
     {
         return false;
     }
-    return ask.all_entries == nullptr || takes_part_of(state, ask, ranks);
+    return query.all_entries == nullptr || has_share_of(state, query, ranks);
 }
 
-placement_estimate expect(
-    endpoint_table const& book,
+placement_estimate estimate(
+    endpoint_table const& table,
     endpoint_state const& state,
-    placement_query const& ask,
+    placement_query const& query,
     base::time_point now)
 {
     placement_estimate found;
     found.slots = state.listed.slots;
-    found.work = work_at(state, ask.entries, now);
-    found.begins = now + time_to_begin(state, ask.entries, now);
+    found.work = work_at(state, query.entries, now);
+    found.begins = now + time_to_begin(state, query.entries, now);
     if (state.report)
     {
         found.line = state.report->waiting;
@@ -311,28 +324,30 @@
             std::chrono::duration_cast<std::chrono::milliseconds>(
                 now - state.reported);
     }
-    if (!ask.model.empty())
+    if (!query.model.empty())
     {
-        found.ends = version_retires_at(book, ask.model, weights_of(state, now).version);
+        found.ends = version_retires_at(
+            table, query.model, weights_of(state, now).version);
     }
     return found;
 }
 
-// The deadline that the version's end sets, where it sets one.
-std::optional<base::time_point> works_until(
+// Returns the deadline that results from the version's retirement, if any.
+std::optional<base::time_point> work_deadline(
     std::optional<base::time_point> ends,
-    placement_query const& ask,
+    placement_query const& query,
     base::time_point now)
 {
-    auto const sets = ends && (ask.version != 0 || is_done_by(*ends, ask, now));
+    auto const sets =
+        ends && (query.version != 0 || is_done_by(*ends, query, now));
     return sets ? ends : std::nullopt;
 }
 
 bool is_distrusted(endpoint_state const& state, base::time_point now)
 {
-    auto const unreported = state.report && !is_fresh(state, now);
-    return unreported || is_stalled(state, now) ||
-           state.fault_share > most_faults;
+    auto const agent_unresponsive = state.report && !is_fresh(state, now);
+    return agent_unresponsive || is_stalled(state, now) ||
+           state.fault_share > max_fault_share;
 }
 
 } // namespace
@@ -342,18 +357,18 @@
 {
     if (!is_fresh(state, now))
     {
-        // Others are assumed to send as much as this entry does, up to a
-        // limit that leaves an endpoint without an agent usable.
+        // The other entries are assumed to send as much as this one. The limit
+        // keeps an endpoint without an agent usable.
         auto const others = std::min<std::size_t>(entries, 2);
         return state.own_running * static_cast<std::uint32_t>(others);
     }
-    // All others are assumed to have sent as much since the report as this
-    // entry. Failure: an engine comes back while few others serve, all entries
-    // send what waits in the same tenth of a second, and a request waits for
-    // more than a second in the engine's queue.
+    // All other entries are assumed to have sent as much as this one since the
+    // report. Failure: an engine returns while few others serve, all entries
+    // send their waiting requests within the same 0.1 s, and a request waits in
+    // the engine's queue for more than 1 s.
     auto const all = static_cast<std::int64_t>(entries);
     auto const change =
-        state.own_change > 0 ? state.own_change * all : state.own_change;
+        state.own_delta > 0 ? state.own_delta * all : state.own_delta;
     auto const known = static_cast<std::int64_t>(state.report->running) +
                        state.report->waiting + change;
     return static_cast<std::uint32_t>(
@@ -365,8 +380,9 @@
     std::uint64_t prompt_tokens,
     std::uint64_t answer_tokens)
 {
-    // Prompts of others are read between the steps.
-    constexpr double reading = 1.6;
+    // Factor for prompts of other requests that are processed between the
+    // decoding steps.
+    constexpr double prefill_factor = 1.6;
     auto const prompt = prompt_tokens > 0 ? static_cast<double>(prompt_tokens)
                                           : costs.usual_prompt;
     auto const answer = answer_tokens > 0 ? static_cast<double>(answer_tokens)
@@ -376,21 +392,22 @@
     auto const read =
         costs.read_per_second > 0 ? 1000 * prompt / costs.read_per_second : 0.0;
     return std::chrono::milliseconds(
-        static_cast<std::int64_t>(read + reading * answer * step));
+        static_cast<std::int64_t>(read + prefill_factor * answer * step));
 }
 
 std::chrono::milliseconds max_wait(
     std::chrono::milliseconds goal, request::measured_time const& first_event)
 {
-    constexpr int least_share = 5;
-    constexpr int most_share = 2;
+    constexpr int min_wait_divisor = 5;
+    constexpr int max_wait_divisor = 2;
     if (!first_event.known)
     {
-        return goal / most_share;
+        return goal / max_wait_divisor;
     }
     auto const usual = std::chrono::duration_cast<std::chrono::milliseconds>(
         first_event.mean + first_event.deviation / 2);
-    return std::clamp(goal - usual, goal / least_share, goal / most_share);
+    return std::clamp(
+        goal - usual, goal / min_wait_divisor, goal / max_wait_divisor);
 }
 
 std::int32_t depth_for_expired_goal(std::uint32_t slots)
@@ -402,43 +419,44 @@
 base::time_point
 endpoint_deadline(choice const& chosen, base::time_point deadline)
 {
-    return std::min(deadline, chosen.works_until.value_or(deadline));
+    return std::min(deadline, chosen.work_deadline.value_or(deadline));
 }
 
 std::optional<base::time_point> must_begin_by(
-    endpoint_table const& book,
+    endpoint_table const& table,
     std::string const& model,
     std::uint64_t version,
-    base::time_point handed)
+    base::time_point deadline)
 {
-    // Time for the endpoint to say that it did not run what its deadline ended.
+    // Time for the endpoint to report that it did not run a request whose
+    // deadline passed.
     constexpr std::chrono::milliseconds answer_time{100};
-    auto const ends = version_retires_at(book, model, version);
+    auto const ends = version_retires_at(table, model, version);
     if (!ends)
     {
         return std::nullopt;
     }
-    return handed > *ends ? *ends : *ends + answer_time;
+    return deadline > *ends ? *ends : *ends + answer_time;
 }
 
 choice choose(
-    endpoint_table const& book,
-    placement_query const& ask,
+    endpoint_table const& table,
+    placement_query const& query,
     base::time_point now,
     base::random_state& random)
 {
     choice found;
     auto best = std::numeric_limits<double>::max();
-    auto const unserved = entries_without_endpoints(book, ask);
+    auto const unserved = entries_without_endpoints(table, query);
     entry_ranks ranks{nullptr, &unserved, key_of(unserved)};
-    for (auto const& [id, state] : book.endpoints)
+    for (auto const& [id, state] : table.endpoints)
     {
-        // One that was tried cannot be waited for.
-        if (!is_listed_for(book, state, ask) || ask.tried.contains(id))
+        // The request cannot wait for an endpoint that was already tried.
+        if (!is_listed_for(table, state, query) || query.tried.contains(id))
         {
             continue;
         }
-        if (!has_weights(book, state, ask, now))
+        if (!has_weights(table, state, query, now))
         {
             found.why = std::max(found.why, no_endpoint_reason::no_weights);
             if (found.why == no_endpoint_reason::none_listed)
@@ -447,10 +465,11 @@
             }
             continue;
         }
-        auto const near = book.domain_entries.find(state.listed.failure_domain);
+        auto const near =
+            table.domain_entries.find(state.listed.failure_domain);
         ranks.near =
-            near != book.domain_entries.end() ? &near->second : nullptr;
-        if (!takes_work(state, ask, ranks, now))
+            near != table.domain_entries.end() ? &near->second : nullptr;
+        if (!can_accept(state, query, ranks, now))
         {
             if (found.why != no_endpoint_reason::no_weights)
             {
@@ -459,11 +478,12 @@
             continue;
         }
         auto const pace = is_fresh(state, now) ? state.report->pace : 1.0;
-        auto cost = pace * (1.0 + work_at(state, ask.entries, now)) /
+        auto cost = pace * (1.0 + work_at(state, query.entries, now)) /
                     std::max<std::uint32_t>(1, state.listed.slots);
-        cost += state.listed.failure_domain == ask.own_domain ? 0 : remote_cost;
+        cost +=
+            state.listed.failure_domain == query.own_domain ? 0 : remote_cost;
         cost += is_distrusted(state, now) ? distrust_cost : 0;
-        cost += random_share * draw(random);
+        cost += random_share * random_fraction(random);
         if (cost < best)
         {
             best = cost;
@@ -474,11 +494,11 @@
     {
         return found;
     }
-    found.expected = expect(book, *found.chosen, ask, now);
-    if (!ask.model.empty())
+    found.expected = estimate(table, *found.chosen, query, now);
+    if (!query.model.empty())
     {
         found.version = weights_of(*found.chosen, now).version;
-        found.works_until = works_until(found.expected.ends, ask, now);
+        found.work_deadline = work_deadline(found.expected.ends, query, now);
     }
     return found;
 }
--- a/libs/direct/src/process_pause.cpp
+++ b/libs/direct/src/process_pause.cpp
@@ -5,20 +5,20 @@
 
 void note_tick(process_pause& state, base::boot_time now)
 {
-    if (state.ticked && now - *state.ticked > longest_running)
+    if (state.last_tick && now - *state.last_tick > max_tick_gap)
     {
-        state.began = *state.ticked;
+        state.began = *state.last_tick;
         state.ended = now;
     }
-    state.ticked = now;
+    state.last_tick = now;
 }
 
 base::boot_time
 earliest_arrival(process_pause const& state, base::boot_time now)
 {
-    if (state.ticked && now - *state.ticked > longest_running)
+    if (state.last_tick && now - *state.last_tick > max_tick_gap)
     {
-        return *state.ticked;
+        return *state.last_tick;
     }
     if (state.ended && now - *state.ended <= catch_up_time)
     {
--- a/libs/direct/src/report_sources.cpp
+++ b/libs/direct/src/report_sources.cpp
@@ -10,30 +10,31 @@
 namespace
 {
 
-bool rests(report_source const& source, base::time_point now)
+bool is_backing_off(report_source const& source, base::time_point now)
 {
-    return source.rests_until && now < *source.rests_until;
+    return source.backoff_until && now < *source.backoff_until;
 }
 
-void put_to_rest(domain_sources& known, base::time_point now)
+void update_backoffs(domain_sources& known, base::time_point now)
 {
     for (auto& [name, source] : known.entries)
     {
         auto const last = source.heard.value_or(source.asked);
-        if (!source.rests_until && now - last > source_patience)
+        if (!source.backoff_until && now - last > source_timeout)
         {
-            source.rests_until = now + source_rest;
+            source.backoff_until = now + source_backoff;
         }
     }
     std::erase_if(
         known.entries,
         [now](auto const& entry)
         {
-            return entry.second.rests_until && !rests(entry.second, now);
+            return entry.second.backoff_until &&
+                   !is_backing_off(entry.second, now);
         });
 }
 
-// The same order each time, another one for each entry that asks.
+// Returns the entries in a stable order that differs between asking entries.
 std::vector<std::string>
 in_own_order(std::string const& own, std::set<std::string> const& entries)
 {
@@ -65,7 +66,7 @@
 {
     auto& known = state.domains.try_emplace(domain, domain_sources{now, {}, {}})
                       .first->second;
-    put_to_rest(known, now);
+    update_backoffs(known, now);
     std::vector<std::string> chosen;
     for (auto const& entry : in_own_order(state.own, entries))
     {
@@ -77,7 +78,7 @@
         auto const& source =
             known.entries.try_emplace(entry, report_source{now, {}, {}})
                 .first->second;
-        if (!rests(source, now))
+        if (!is_backing_off(source, now))
         {
             chosen.push_back(entry);
         }
@@ -101,7 +102,7 @@
     if (source != known->second.entries.end())
     {
         source->second.heard = now;
-        source->second.rests_until.reset();
+        source->second.backoff_until.reset();
     }
 }
 
@@ -116,7 +117,7 @@
         return false;
     }
     auto const last = known->second.heard.value_or(known->second.wanted);
-    return now - last > source_patience;
+    return now - last > source_timeout;
 }
 
 } // namespace foxtailvale::direct
--- a/libs/direct/src/retry.cpp
+++ b/libs/direct/src/retry.cpp
@@ -30,26 +30,26 @@
            !facts.says_not_run;
 }
 
-bool is_retry_allowed(retry_query const& ask)
+bool is_retry_allowed(retry_query const& query)
 {
-    if (ask.sends >= most_sends)
+    if (query.sends >= max_sends)
     {
         return false;
     }
-    if (ask.answer_begun)
+    if (query.answer_begun)
     {
-        return ask.repeats == repetition::resumable &&
-               (ask.ran == ran_state::no || ask.runs < ask.most_attempts);
+        return query.repeats == repetition::resumable &&
+               (query.ran == ran_state::no || query.runs < query.most_attempts);
     }
-    if (ask.ran == ran_state::no && ask.runs == 0)
+    if (query.ran == ran_state::no && query.runs == 0)
     {
         return true;
     }
-    if (ask.repeats == repetition::non_idempotent)
+    if (query.repeats == repetition::non_idempotent)
     {
         return false;
     }
-    return ask.runs < ask.most_attempts;
+    return query.runs < query.most_attempts;
 }
 
 base::error_kind final_error(base::ran_state ran, bool time_is_up)
--- a/libs/direct/src/shares.cpp
+++ b/libs/direct/src/shares.cpp
@@ -11,15 +11,17 @@
 namespace
 {
 
-// Part of a bound that is handed out. The rest covers requests of one second
-// that arrive in the next and entries that have just come.
-constexpr double used_part = 0.8;
+// Fraction of a limit that is assigned as shares. The rest covers requests that
+// are sent in one second and arrive in the next, and entries that have just
+// started.
+constexpr double assigned_fraction = 0.8;
 
-// Requests a second that are handed out; at least one.
-std::size_t parts_of(cold_bound const& bound)
+// Returns the number of shares, in requests per second; at least one.
+std::size_t share_count(cold_bound const& bound)
 {
-    auto const parts = used_part * (bound.per_second + bound.tolerance);
-    return static_cast<std::size_t>(std::max(1.0, parts));
+    auto const shares =
+        assigned_fraction * (bound.per_second + bound.tolerance);
+    return static_cast<std::size_t>(std::max(1.0, shares));
 }
 
 bool is_in(std::set<std::string> const* names, std::string const& name)
@@ -36,7 +38,7 @@
 
 std::size_t slot_of(std::int64_t second)
 {
-    return static_cast<std::size_t>(second) % retry_window::most_seconds;
+    return static_cast<std::size_t>(second) % retry_window::max_seconds;
 }
 
 void advance(retry_window& state, base::time_point now)
@@ -44,7 +46,7 @@
     auto const second = second_of(now);
     auto const first = std::max(
         state.second + 1,
-        second - static_cast<std::int64_t>(retry_window::most_seconds) + 1);
+        second - static_cast<std::int64_t>(retry_window::max_seconds) + 1);
     for (auto passed = first; passed <= second; ++passed)
     {
         state.requests[slot_of(passed)] = 0;
@@ -56,7 +58,7 @@
 
 std::size_t sharers(entry_count const& count)
 {
-    return count.most_seen > 0 ? count.most_seen : count.assumed;
+    return count.max_seen > 0 ? count.max_seen : count.assumed;
 }
 
 void note_entries(
@@ -66,20 +68,19 @@
     std::size_t domains,
     base::time_point now)
 {
-    count.told = count.told.value_or(now);
-    count.most_seen =
-        std::max({count.most_seen, alive, in_own_domain * domains});
+    count.known_since = count.known_since.value_or(now);
+    count.max_seen = std::max({count.max_seen, alive, in_own_domain * domains});
 }
 
-bool has_part(
+bool has_share(
     std::set<std::string> const& entries,
     entry_ranks const& ranks,
     std::string const& own,
     std::string const& endpoint,
     cold_bound const& bound)
 {
-    auto const parts = parts_of(bound);
-    if (bound.per_second <= 0 || entries.size() <= parts)
+    auto const shares = share_count(bound);
+    if (bound.per_second <= 0 || entries.size() <= shares)
     {
         return true;
     }
@@ -89,7 +90,7 @@
                : is_in(ranks.without_endpoints, entry) ? 1
                                                        : 2;
     };
-    auto const place = [&](std::string const& entry)
+    auto const rank = [&](std::string const& entry)
     {
         return std::pair(
             group_of(entry), base::stable_hash(entry + "/" + endpoint));
@@ -100,21 +101,21 @@
         {
             return is_in(ranks.near, other);
         }));
-    auto const kept = std::min(entries.size() - near, parts * 3 / 10);
-    auto const near_parts = std::min(near, parts - kept);
-    auto const own_place = place(own);
+    auto const reserved = std::min(entries.size() - near, shares * 3 / 10);
+    auto const near_shares = std::min(near, shares - reserved);
+    auto const own_rank = rank(own);
     auto const before = static_cast<std::size_t>(std::ranges::count_if(
         entries,
         [&](std::string const& other)
         {
-            return place(other) < own_place;
+            return rank(other) < own_rank;
         }));
-    return own_place.first == 0 ? before < near_parts
-                                : before - near < parts - near_parts;
+    return own_rank.first == 0 ? before < near_shares
+                               : before - near < shares - near_shares;
 }
 
-bool has_part(
-    share_cache& memory,
+bool has_share(
+    share_cache& cache,
     std::set<std::string> const& entries,
     entry_ranks const& ranks,
     std::string const& own,
@@ -122,28 +123,28 @@
     cold_bound const& bound)
 {
     auto const near = ranks.near == nullptr ? 0 : ranks.near->size();
-    auto& known = memory.answers[endpoint];
+    auto& known = cache.by_endpoint[endpoint];
     if (known.entries != entries.size() || known.near != near ||
         known.without_key != ranks.without_key)
     {
-        ++memory.asked;
+        ++cache.evaluations;
         known = {
             entries.size(), near, ranks.without_key,
-            has_part(entries, ranks, own, endpoint, bound)};
+            has_share(entries, ranks, own, endpoint, bound)};
     }
     return known.has;
 }
 
 std::size_t assumed_entries(entry_count const& count, std::size_t endpoints)
 {
-    if (count.most_seen == 0)
+    if (count.max_seen == 0)
     {
         return max_entries;
     }
     // Fleets have about as many entries as engines, or fewer.
     auto const others = count.hinted > 0 ? count.hinted : endpoints;
     return std::clamp(
-        std::max(2 * count.most_seen, others * 3 / 2), count.assumed,
+        std::max(2 * count.max_seen, others * 3 / 2), count.assumed,
         max_entries);
 }
 
@@ -154,15 +155,16 @@
     std::size_t assumed)
 {
     return bound.per_second <= 0 ||
-           base::stable_hash(own + "/" + endpoint) % assumed < parts_of(bound);
+           base::stable_hash(own + "/" + endpoint) % assumed <
+               share_count(bound);
 }
 
 bool is_newcomer(entry_count const& count, base::time_point now)
 {
-    return !count.told || now - *count.told < newcomer_time;
+    return !count.known_since || now - *count.known_since < newcomer_time;
 }
 
-bool may_send_within_part(
+bool may_send_within_share(
     std::deque<base::time_point> const& recent,
     cold_bound const& bound,
     std::size_t entries,
@@ -172,9 +174,9 @@
     {
         return true;
     }
-    auto const parts = parts_of(bound);
-    auto const sharing = std::clamp<std::size_t>(entries, 1, parts);
-    auto const allowed = parts / sharing;
+    auto const shares = share_count(bound);
+    auto const sharing = std::clamp<std::size_t>(entries, 1, shares);
+    auto const allowed = shares / sharing;
     auto const begun = std::ranges::count_if(
         recent,
         [now](base::time_point at)
@@ -202,19 +204,19 @@
     {
         requests += state.requests[slot_of(state.second - back)];
     }
-    while (!state.repeats.empty() &&
-           now - state.repeats.front() >= bound.window)
+    while (!state.retries.empty() &&
+           now - state.retries.front() >= bound.window)
     {
-        state.repeats.pop_front();
+        state.retries.pop_front();
     }
     auto const allowed =
-        used_part *
+        assigned_fraction *
         (bound.ratio * requests + bound.slack / static_cast<double>(entries));
-    if (static_cast<double>(state.repeats.size()) + 1 > allowed)
+    if (static_cast<double>(state.retries.size()) + 1 > allowed)
     {
         return false;
     }
-    state.repeats.push_back(now);
+    state.retries.push_back(now);
     return true;
 }
 
--- a/libs/direct/src/store_fallback.cpp
+++ b/libs/direct/src/store_fallback.cpp
@@ -8,21 +8,21 @@
 namespace
 {
 
-// Between the time and twice the time.
-base::duration spread(std::chrono::milliseconds time, double draw)
+// Returns a time between one and two times the given one.
+base::duration spread(std::chrono::milliseconds time, double jitter)
 {
-    return std::chrono::duration_cast<base::duration>(time * (1 + draw));
+    return std::chrono::duration_cast<base::duration>(time * (1 + jitter));
 }
 
 } // namespace
 
 void note_answered(store_fallback& state, base::time_point now)
 {
-    state = {now, std::nullopt, false, first_store_pause};
+    state = {now, std::nullopt, false, initial_store_backoff};
 }
 
 bool may_read_store(
-    store_fallback& state, list_need need, base::time_point now, double draw)
+    store_fallback& state, list_need need, base::time_point now, double jitter)
 {
     if (need == list_need::transfer && !state.has_read)
     {
@@ -30,15 +30,15 @@
     }
     if (!state.next)
     {
-        state.next = state.heard + spread(entry_patience, draw);
+        state.next = state.last_answer + spread(entry_timeout, jitter);
     }
     if (now < *state.next)
     {
         return false;
     }
     state.has_read = true;
-    state.next = now + spread(state.pause, draw);
-    state.pause = std::min(2 * state.pause, longest_store_pause);
+    state.next = now + spread(state.backoff, jitter);
+    state.backoff = std::min(2 * state.backoff, max_store_backoff);
     return true;
 }
 
--- a/libs/direct/src/store_restore.cpp
+++ b/libs/direct/src/store_restore.cpp
@@ -17,140 +17,143 @@
     return begin && now - *begin < time;
 }
 
-void forget_old(list_doubt& doubt, base::time_point now)
+void expire_departed(store_restore_state& restore_state, base::time_point now)
 {
     std::erase_if(
-        doubt.left,
+        restore_state.departed,
         [now](auto const& entry)
         {
-            return now - entry.second > left_memory;
+            return now - entry.second > departed_memory;
         });
 }
 
-bool is_leaving(endpoint_table const& book, std::string const& id)
+bool is_leaving(endpoint_table const& table, std::string const& id)
 {
-    auto const found = book.endpoints.find(id);
-    return found != book.endpoints.end() && found->second.listed.draining;
+    auto const found = table.endpoints.find(id);
+    return found != table.endpoints.end() && found->second.listed.draining;
 }
 
 } // namespace
 
-void note_store_restored(endpoint_table& book, base::time_point now)
+void note_store_restored(endpoint_table& table, base::time_point now)
 {
-    book.doubt.returned = now;
+    table.restore_state.restored = now;
 }
 
-bool may_lack_endpoints(endpoint_table const& book, base::time_point now)
+bool may_lack_endpoints(endpoint_table const& table, base::time_point now)
 {
-    return is_within(book.doubt.returned, copy_time, now);
+    return is_within(table.restore_state.restored, withhold_time, now);
 }
 
-void note_left(endpoint_table& book, std::string const& id, base::time_point now)
+void note_departed(
+    endpoint_table& table, std::string const& id, base::time_point now)
 {
-    auto& doubt = book.doubt;
-    if (doubt.left.size() >= most_left)
+    auto& restore_state = table.restore_state;
+    if (restore_state.departed.size() >= max_departed)
     {
-        forget_old(doubt, now);
+        expire_departed(restore_state, now);
     }
-    if (doubt.left.size() < most_left)
+    if (restore_state.departed.size() < max_departed)
     {
-        doubt.left[id] = now;
+        restore_state.departed[id] = now;
     }
 }
 
-void note_present(endpoint_table& book, std::string const& id)
+void note_present(endpoint_table& table, std::string const& id)
 {
-    book.doubt.left.erase(id);
-    book.doubt.kept_back.erase(id);
+    table.restore_state.departed.erase(id);
+    table.restore_state.withheld.erase(id);
 }
 
-bool keep_back(
-    endpoint_table& book, endpoint_record const& record, base::time_point now)
+bool withhold(
+    endpoint_table& table, endpoint_record const& record, base::time_point now)
 {
-    auto& doubt = book.doubt;
-    if (!is_within(doubt.returned, copy_time, now))
+    auto& restore_state = table.restore_state;
+    if (!is_within(restore_state.restored, withhold_time, now))
     {
         return false;
     }
-    forget_old(doubt, now);
-    auto const leaves = is_leaving(book, record.id) && !record.draining;
-    if (!leaves && !doubt.left.contains(record.id))
+    expire_departed(restore_state, now);
+    auto const leaves = is_leaving(table, record.id) && !record.draining;
+    if (!leaves && !restore_state.departed.contains(record.id))
     {
         return false;
     }
-    doubt.kept_back[record.id] = record;
+    restore_state.withheld[record.id] = record;
     return true;
 }
 
-void forget_kept_back(endpoint_table& book, std::string const& id)
+void discard_withheld(endpoint_table& table, std::string const& id)
 {
-    book.doubt.kept_back.erase(id);
+    table.restore_state.withheld.erase(id);
 }
 
 std::vector<endpoint_record>
-take_believed(endpoint_table& book, base::time_point now)
+take_released(endpoint_table& table, base::time_point now)
 {
-    std::vector<endpoint_record> believed;
-    auto& doubt = book.doubt;
-    if (doubt.kept_back.empty() || is_within(doubt.returned, copy_time, now))
+    std::vector<endpoint_record> released;
+    auto& restore_state = table.restore_state;
+    if (restore_state.withheld.empty() ||
+        is_within(restore_state.restored, withhold_time, now))
     {
-        return believed;
+        return released;
     }
-    for (auto& [id, record] : std::exchange(doubt.kept_back, {}))
+    for (auto& [id, record] : std::exchange(restore_state.withheld, {}))
     {
-        believed.push_back(std::move(record));
+        released.push_back(std::move(record));
     }
-    return believed;
+    return released;
 }
 
-bool take_out_of_service(endpoint_table& book, std::string const& domain)
+bool take_out_of_service(endpoint_table& table, std::string const& domain)
 {
-    book.doubt.held_out.erase(domain);
-    return book.domains_out.insert(domain).second;
+    table.restore_state.held_out.erase(domain);
+    return table.domains_out.insert(domain).second;
 }
 
-bool return_to_service(endpoint_table& book, std::string const& domain)
+bool return_to_service(endpoint_table& table, std::string const& domain)
 {
-    book.doubt.held_out.erase(domain);
-    return book.domains_out.erase(domain) > 0;
+    table.restore_state.held_out.erase(domain);
+    return table.domains_out.erase(domain) > 0;
 }
 
 std::vector<std::string> replace_domains(
-    endpoint_table& book,
+    endpoint_table& table,
     std::set<std::string> const& listed,
     base::time_point now)
 {
-    auto& doubt = book.doubt;
+    auto& restore_state = table.restore_state;
     std::vector<std::string> back;
-    for (auto const& domain : std::set<std::string>(book.domains_out))
+    for (auto const& domain : std::set<std::string>(table.domains_out))
     {
         if (listed.contains(domain))
         {
             continue;
         }
-        if (is_within(doubt.returned, held_out_time, now))
+        if (is_within(restore_state.restored, held_out_time, now))
         {
-            doubt.held_out.insert(domain);
+            restore_state.held_out.insert(domain);
             continue;
         }
-        return_to_service(book, domain);
+        return_to_service(table, domain);
         back.push_back(domain);
     }
     return back;
 }
 
 std::vector<std::string>
-expire_domains(endpoint_table& book, base::time_point now)
+expire_domains(endpoint_table& table, base::time_point now)
 {
-    auto& doubt = book.doubt;
+    auto& restore_state = table.restore_state;
     std::vector<std::string> back;
-    if (doubt.held_out.empty() || is_within(doubt.returned, held_out_time, now))
+    if (restore_state.held_out.empty() ||
+        is_within(restore_state.restored, held_out_time, now))
     {
         return back;
     }
-    for (auto const& domain : std::exchange(doubt.held_out, {}))
+    for (auto const& domain : std::exchange(restore_state.held_out, {}))
     {
-        if (book.domains_out.erase(domain) > 0)
+        if (table.domains_out.erase(domain) > 0)
         {
             back.push_back(domain);
         }
--- a/libs/direct/src/watch_duty.cpp
+++ b/libs/direct/src/watch_duty.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-// The same order of entries at all of them.
+// Sort key that gives the same order at all entries.
 std::pair<std::uint64_t, std::string> rank_of(std::string const& name)
 {
     return {base::stable_hash(name), name};
@@ -19,14 +19,14 @@
 
 bool is_live(live_watcher const& watcher, base::boot_time now)
 {
-    return now - watcher.heard <= watcher_silence;
+    return now - watcher.heard <= watcher_timeout;
 }
 
 struct counted_watchers
 {
     std::size_t all = 0;
     std::size_t own_domain = 0;
-    // Of the own failure domain and before this entry in the order.
+    // Watchers of this entry's failure domain that precede it in the order.
     std::size_t before = 0;
 };
 
@@ -50,10 +50,11 @@
     return found;
 }
 
-std::size_t lookers_in_own_domain(watch_duty const& state, base::boot_time now)
+std::size_t
+unanswered_in_own_domain(watch_duty const& state, base::boot_time now)
 {
     auto const found = std::ranges::count_if(
-        state.lookers,
+        state.unanswered,
         [&](auto const& entry)
         {
             return is_live(entry.second, now) &&
@@ -62,63 +63,63 @@
     return static_cast<std::size_t>(found);
 }
 
-void change(watch_duty& state, bool watching, base::boot_time now)
+void set_watching(watch_duty& state, bool watching, base::boot_time now)
 {
     state.watching = watching;
     state.is_first = false;
     state.since = now;
-    state.followed = now;
+    state.views_confirmed_at = now;
     state.too_few_since.reset();
 }
 
-bool may_stop(
+bool may_stop_watching(
     watch_duty& state,
     counted_watchers const& others,
     bool fresh,
     base::boot_time now)
 {
-    auto const shortest = state.is_first ? first_duty : shortest_duty;
-    if (now - state.since < shortest)
+    auto const minimum = state.is_first ? min_first_watch : min_watch;
+    if (now - state.since < minimum)
     {
         return false;
     }
     if (!fresh && others.all > 0)
     {
-        state.unfit_until = now + unfit_time;
+        state.store_backoff_until = now + store_backoff;
         return true;
     }
-    if (!fresh && state.neighbours >= most_lookers)
+    if (!fresh && state.neighbours >= max_unanswered)
     {
-        return now - state.since >= look_time + state.jitter;
+        return now - state.since >= unanswered_time + state.jitter;
     }
-    return others.before > 0 && others.all >= fewest_watchers;
+    return others.before > 0 && others.all >= min_watchers;
 }
 
-// How long a view may stay unconfirmed before this entry looks for itself.
-std::chrono::milliseconds patience_of(watch_duty const& state)
+// How long a view may stay unconfirmed before this entry starts to watch.
+std::chrono::milliseconds follow_timeout_of(watch_duty const& state)
 {
     if (!state.is_first)
     {
-        return follow_patience + state.jitter / 4;
+        return follow_timeout + state.jitter / 4;
     }
-    return state.seed_answered ? answered_patience + state.jitter
-                               : seed_patience + state.jitter / 4;
+    return state.seed_answered ? seed_answered_timeout + state.jitter
+                               : seed_timeout + state.jitter / 4;
 }
 
-bool must_begin(
+bool must_start_watching(
     watch_duty& state, counted_watchers const& others, base::boot_time now)
 {
-    if (now - state.followed > patience_of(state))
+    if (now - state.views_confirmed_at > follow_timeout_of(state))
     {
-        return lookers_in_own_domain(state, now) < most_lookers;
+        return unanswered_in_own_domain(state, now) < max_unanswered;
     }
-    if (state.unfit_until && now < *state.unfit_until)
+    if (state.store_backoff_until && now < *state.store_backoff_until)
     {
         return false;
     }
-    // One that has just begun is not answered yet.
-    auto const begun = lookers_in_own_domain(state, now);
-    if (others.all + begun >= fewest_watchers && others.own_domain + begun > 0)
+    // A watcher that has just started has no answer from the store yet.
+    auto const begun = unanswered_in_own_domain(state, now);
+    if (others.all + begun >= min_watchers && others.own_domain + begun > 0)
     {
         state.too_few_since.reset();
         return false;
@@ -127,7 +128,7 @@
     {
         state.too_few_since = now;
     }
-    return now - *state.too_few_since > few_patience + state.jitter;
+    return now - *state.too_few_since > too_few_timeout + state.jitter;
 }
 
 } // namespace
@@ -135,7 +136,7 @@
 void begin(watch_duty& state, base::boot_time now)
 {
     state.since = now;
-    state.followed = now;
+    state.views_confirmed_at = now;
     state.watching =
         state.seeds.empty() ||
         std::ranges::find(state.seeds, state.own) != state.seeds.end();
@@ -145,7 +146,7 @@
     watch_duty& state,
     std::string const& name,
     std::string const& failure_domain,
-    watch_status word,
+    watch_status status,
     base::boot_time now)
 {
     if (name == state.own)
@@ -153,20 +154,20 @@
         return;
     }
     state.watchers.erase(name);
-    state.lookers.erase(name);
-    if (word == watch_status::fresh)
+    state.unanswered.erase(name);
+    if (status == watch_status::fresh)
     {
         state.watchers[name] = {failure_domain, now};
     }
-    if (word == watch_status::looking)
+    if (status == watch_status::looking)
     {
-        state.lookers[name] = {failure_domain, now};
+        state.unanswered[name] = {failure_domain, now};
     }
 }
 
 void note_views_confirmed(watch_duty& state, base::boot_time now)
 {
-    state.followed = std::max(state.followed, now);
+    state.views_confirmed_at = std::max(state.views_confirmed_at, now);
     if (!state.watching)
     {
         state.is_first = false;
@@ -175,19 +176,19 @@
 
 void follow(watch_duty& state, base::boot_time now)
 {
-    change(state, false, now);
+    set_watching(state, false, now);
 }
 
 bool decide(watch_duty& state, bool fresh, base::boot_time now)
 {
     auto const others = count(state, now);
-    if (state.watching && may_stop(state, others, fresh, now))
+    if (state.watching && may_stop_watching(state, others, fresh, now))
     {
-        change(state, false, now);
+        set_watching(state, false, now);
     }
-    else if (!state.watching && must_begin(state, others, now))
+    else if (!state.watching && must_start_watching(state, others, now))
     {
-        change(state, true, now);
+        set_watching(state, true, now);
     }
     return state.watching;
 }
@@ -198,7 +199,7 @@
     base::boot_time now)
 {
     if (failure_domain == state.own_domain ||
-        now - state.followed > near_patience)
+        now - state.views_confirmed_at > own_domain_timeout)
     {
         return true;
     }
@@ -222,7 +223,7 @@
 
 std::vector<std::string> asked(watch_duty const& state, base::boot_time now)
 {
-    constexpr std::size_t most_asked = 2;
+    constexpr std::size_t max_asked = 2;
     auto chosen = sources(state, now);
     if (count(state, now).all == 0)
     {
@@ -234,9 +235,10 @@
         {
             auto const watcher = state.watchers.find(name);
             return watcher != state.watchers.end() &&
-                   !accepts_views_from(state, watcher->second.failure_domain, now);
+                   !accepts_views_from(
+                       state, watcher->second.failure_domain, now);
         });
-    chosen.resize(std::min(chosen.size(), most_asked));
+    chosen.resize(std::min(chosen.size(), max_asked));
     return chosen;
 }
 
@@ -260,13 +262,13 @@
             });
         return found;
     }
-    auto const place = [&state](std::string const& name)
+    auto const rank = [&state](std::string const& name)
     {
-        auto const far =
+        auto const is_remote =
             state.watchers.at(name).failure_domain != state.own_domain;
-        return std::pair(far, base::stable_hash(state.own + "/" + name));
+        return std::pair(is_remote, base::stable_hash(state.own + "/" + name));
     };
-    std::ranges::sort(found, {}, place);
+    std::ranges::sort(found, {}, rank);
     return found;
 }
 
--- a/libs/direct/tests/attempt_limit_tests.cpp
+++ b/libs/direct/tests/attempt_limit_tests.cpp
@@ -14,7 +14,7 @@
 
 base::time_point const start{seconds(100)};
 
-// A stream that may be resumed, sent to its first endpoint as it came.
+// A resumable stream on its first attempt.
 attempt_progress stream()
 {
     return {
@@ -46,7 +46,8 @@
 {
     EXPECT_EQ(attempt_deadline(stream()), start + milliseconds(1600));
     EXPECT_EQ(
-        attempt_deadline(at_lost_endpoint(stream())), start + milliseconds(800));
+        attempt_deadline(at_lost_endpoint(stream())),
+        start + milliseconds(800));
 }
 
 TEST(attempt_limit, the_last_attempt_waits_for_an_endpoint_that_lives)
@@ -54,8 +55,8 @@
     EXPECT_FALSE(attempt_deadline(last_of(stream())));
 }
 
-// Guards against callers who wait at a second endpoint that stands still until
-// they leave.
+// Failure: callers wait at a second endpoint that is paused until they
+// disconnect.
 TEST(attempt_limit, the_last_attempt_ends_at_a_lost_endpoint)
 {
     EXPECT_EQ(
@@ -63,8 +64,8 @@
         start + milliseconds(800));
 }
 
-// Guards against an end in the middle of a stream that its caller, who may go
-// on with it elsewhere, hears of by leaving.
+// Failure: a stream stops at a lost endpoint, and its caller, who could resume
+// it elsewhere, learns of it only by its own time-out.
 TEST(attempt_limit, a_stream_that_stops_at_a_lost_endpoint_ends)
 {
     auto attempt = at_lost_endpoint(last_of(stream()));
@@ -74,8 +75,8 @@
     EXPECT_EQ(attempt_deadline(attempt), attempt.last_byte + milliseconds(900));
 }
 
-// Guards against a late repeat at a lost endpoint whose end comes after the
-// caller has left.
+// Failure: a late retry at a lost endpoint times out only after the caller has
+// disconnected.
 TEST(attempt_limit, a_caller_of_a_stream_is_told_before_it_leaves)
 {
     auto attempt = at_lost_endpoint(last_of(stream()));
@@ -86,7 +87,7 @@
     EXPECT_EQ(attempt_deadline(attempt), start + milliseconds(2100));
 }
 
-// Guards against an answer that nobody can ask for again being given up.
+// Failure: an answer is abandoned although nobody can send the request again.
 TEST(attempt_limit, a_plain_request_that_may_run_once_is_waited_for)
 {
     auto attempt = at_lost_endpoint(last_of(stream()));
@@ -95,7 +96,7 @@
     EXPECT_FALSE(attempt_deadline(attempt));
 }
 
-// A lookup may be asked again by its caller.
+// The caller of a lookup can send it again.
 TEST(attempt_limit, a_plain_request_that_may_be_repeated_ends)
 {
     auto attempt = at_lost_endpoint(last_of(stream()));
--- a/libs/direct/tests/callers_left_tests.cpp
+++ b/libs/direct/tests/callers_left_tests.cpp
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-// Engines do not go on working for callers who have left.
+// Engines do not continue to work for callers that have disconnected.
 namespace foxtailvale::direct
 {
 
@@ -11,58 +11,59 @@
 
 using std::chrono::milliseconds;
 
-// Machines of some engines stand still under a burst. Their engines work on
-// what they had read and say nothing of it.
-fleet_course standstill(double load, milliseconds time)
+// Machines of some engines are paused during a burst. The engines go on with
+// the requests that they had read but send nothing.
+fleet_scenario paused_engines(double load, milliseconds time)
 {
-    fleet_course course;
-    course.load = load;
-    course.named = {};
-    course.length = milliseconds(9000);
+    fleet_scenario scenario;
+    scenario.load = load;
+    scenario.announced_at = {};
+    scenario.length = milliseconds(9000);
     std::set<std::size_t> const engines{0, 1, 3, 4, 6, 8, 10, 12};
-    stretch const still{milliseconds(3000), milliseconds(3000) + time};
-    course.engine_pauses = {{engines, still}};
-    course.agent_pauses = {{engines, still}};
-    course.works_unheard = true;
-    course.callers_leave = true;
-    return course;
+    time_span const pause{milliseconds(3000), milliseconds(3000) + time};
+    scenario.engine_pauses = {{engines, pause}};
+    scenario.agent_pauses = {{engines, pause}};
+    scenario.works_while_paused = true;
+    scenario.callers_leave = true;
+    return scenario;
 }
 
-// The promise: of the requests whose callers left while an engine had them, no
-// more than a quarter is still worked on half a second later.
-void expect_ended(fleet_course course)
+// Of the requests whose callers disconnected while an engine had them, at most
+// a quarter may pause be worked on 0.5 s later.
+void expect_work_stopped(fleet_scenario scenario)
 {
     for (std::uint64_t seed = 1; seed <= 6; ++seed)
     {
-        course.seed = seed;
-        auto const outcome = run_fleet(course);
-        EXPECT_GT(outcome.cut, 0U) << "seed " << seed;
-        EXPECT_LE(outcome.ran_on * 4, outcome.at_work_when_left)
+        scenario.seed = seed;
+        auto const outcome = run_fleet(scenario);
+        EXPECT_GT(outcome.interrupted, 0U) << "seed " << seed;
+        EXPECT_LE(outcome.still_at_work * 4, outcome.at_work_when_left)
             << "seed " << seed << ": " << to_text(outcome);
     }
 }
 
 } // namespace
 
-// Guards against repeats that wait for a second engine that stands still until
-// their callers leave.
+// Failure: retries wait at a second paused engine until their callers
+// disconnect.
 TEST(callers_left, engines_stand_still_and_the_others_are_full)
 {
-    expect_ended(standstill(1.8, milliseconds(4000)));
+    expect_work_stopped(paused_engines(1.8, milliseconds(4000)));
 }
 
-// The same where the others have room.
+// The same while the other engines have free slots.
 TEST(callers_left, engines_stand_still_and_the_others_have_room)
 {
-    expect_ended(standstill(0.5, milliseconds(4000)));
+    expect_work_stopped(paused_engines(0.5, milliseconds(4000)));
 }
 
-// The same for shorter times, which end before or just after callers leave.
+// The same for shorter pauses, which end before or just after callers
+// disconnect.
 TEST(callers_left, engines_stand_still_for_a_moment)
 {
     for (auto const time : {1500, 2000, 2500, 3000})
     {
-        expect_ended(standstill(1.8, milliseconds(time)));
+        expect_work_stopped(paused_engines(1.8, milliseconds(time)));
     }
 }
 
--- a/libs/direct/tests/engine_world.cpp
+++ b/libs/direct/tests/engine_world.cpp
@@ -19,39 +19,40 @@
 
 constexpr milliseconds step{1};
 
-// As the entry does it.
+// Values of the entry process.
 constexpr milliseconds version_margin{400};
 constexpr milliseconds tick{20};
 
-void plan_news(world& state, std::size_t number)
+void schedule_announcements(simulation& state, std::size_t number)
 {
     constexpr int least = 2;
     constexpr int most = 120;
-    if (state.course.entry_without_news == number)
+    if (state.scenario.uninformed_entry == number)
     {
         return;
     }
     auto& entry = state.entries[number];
-    for (std::size_t index = 0; index < state.course.named.size(); ++index)
+    for (std::size_t index = 0; index < state.scenario.announced_at.size();
+         ++index)
     {
-        auto const learned = start + state.course.named[index] +
+        auto const learned = start + state.scenario.announced_at[index] +
                              random_time(state.random, least, most);
         state.events.emplace(
             learned,
             [&entry, index, learned]
             {
                 announce_version(
-                    entry.book, model_name,
+                    entry.table, model_name,
                     {index + 2, learned,
                      learned + version_bound - version_margin});
             });
     }
 }
 
-routing::engine_costs costs_of(fleet_course const& course)
+routing::engine_costs costs_of(fleet_scenario const& scenario)
 {
     routing::engine_costs costs;
-    costs.slots = course.slots;
+    costs.slots = scenario.slots;
     costs.step = std::chrono::duration<double, std::milli>(6.73);
     costs.step_per_request = std::chrono::duration<double, std::milli>(0.0219);
     costs.steps_per_pass = 6;
@@ -61,11 +62,11 @@
     return costs;
 }
 
-void add_entries(world& state)
+void add_entries(simulation& state)
 {
-    for (std::size_t number = 0; number < state.course.entries; ++number)
+    for (std::size_t number = 0; number < state.scenario.entries; ++number)
     {
-        played_entry made;
+        simulated_entry made;
         made.name = "10.0.1." + std::to_string(number + 1);
         made.domain = domain_of(number);
         made.random.value = base::next_random(state.random);
@@ -76,19 +77,19 @@
     {
         for (auto const& other : state.entries)
         {
-            entry.book.domain_entries[other.domain].insert(other.name);
+            entry.table.domain_entries[other.domain].insert(other.name);
         }
     }
 }
 
-void add_engines(world& state)
+void add_engines(simulation& state)
 {
-    for (std::size_t number = 0; number < state.course.engines; ++number)
+    for (std::size_t number = 0; number < state.scenario.engines; ++number)
     {
-        played_engine made;
+        simulated_engine made;
         made.costs = state.costs;
         state.engines.push_back(std::move(made));
-        state.agents.emplace_back().seen.weights = {model_name, 1, true};
+        state.agents.emplace_back().last_state.weights = {model_name, 1, true};
         for (auto& entry : state.entries)
         {
             endpoint_record record;
@@ -98,16 +99,16 @@
             record.failure_domain = domain_of(number);
             record.slots = state.costs.slots;
             record.weights = {model_name, 1, true};
-            put(entry.book, std::move(record));
+            put(entry.table, std::move(record));
         }
     }
 }
 
-void plan_rounds(world& state)
+void schedule_periodic_tasks(simulation& state)
 {
     for (std::size_t number = 0; number < state.agents.size(); ++number)
     {
-        later(
+        schedule(
             state,
             random_time(
                 state.random, 0, static_cast<int>(report_interval.count())),
@@ -119,7 +120,7 @@
     for (std::size_t number = 0; number < state.entries.size(); ++number)
     {
         auto& entry = state.entries[number];
-        later(
+        schedule(
             state,
             random_time(
                 state.random, 0,
@@ -128,16 +129,16 @@
             {
                 subscribe(state, entry);
             });
-        plan_news(state, number);
+        schedule_announcements(state, number);
     }
-    plan_callers(state, start);
+    schedule_callers(state, start);
 }
 
-void run_step(world& state)
+void run_step(simulation& state)
 {
     for (std::size_t number = 0; number < state.engines.size(); ++number)
     {
-        go_on(state, number);
+        resume(state, number);
     }
     while (!state.events.empty() && state.events.begin()->first <= state.now)
     {
@@ -148,8 +149,8 @@
     {
         work_engine(state, number);
     }
-    watch_times(state);
-    if (rounded(state.now - start) % tick == milliseconds(0))
+    check_timeouts(state);
+    if (to_milliseconds(state.now - start) % tick == milliseconds(0))
     {
         for (auto& entry : state.entries)
         {
@@ -165,41 +166,44 @@
     return to_text(*this) == to_text(other);
 }
 
-fleet_outcome run_fleet(fleet_course const& course)
+fleet_outcome run_fleet(fleet_scenario const& scenario)
 {
-    world state{course, costs_of(course), {course.seed}};
+    simulation state{scenario, costs_of(scenario), {scenario.seed}};
     add_entries(state);
     add_engines(state);
-    plan_rounds(state);
-    for (; state.now < start + course.length || !state.callers.empty();
+    schedule_periodic_tasks(state);
+    for (; state.now < start + scenario.length || !state.callers.empty();
          state.now += step)
     {
         run_step(state);
     }
     state.outcome.on_newest = static_cast<std::size_t>(std::ranges::count(
-        state.engines, course.named.size() + 1, &played_engine::version));
+        state.engines, scenario.announced_at.size() + 1,
+        &simulated_engine::version));
     return state.outcome;
 }
 
 std::string to_text(fleet_outcome const& outcome)
 {
     std::ostringstream text;
-    text << "asked " << outcome.asked << ", answered " << outcome.answered
-         << ", in time " << outcome.in_time << ", cut " << outcome.cut
-         << ", refused " << outcome.refused << ", left " << outcome.left
-         << ", ran on " << outcome.ran_on << " of " << outcome.at_work_when_left
-         << ", begun on older " << outcome.begun_on_older << ", least left "
-         << outcome.least_left.count() << " ms, longest with a slot "
-         << outcome.longest_with_slot.count() << " ms, late "
+    text << "requests " << outcome.requests << ", answered " << outcome.answered
+         << ", within goal " << outcome.in_time << ", interrupted "
+         << outcome.interrupted << ", refused " << outcome.refused
+         << ", callers left " << outcome.left << ", still at work "
+         << outcome.still_at_work << " of " << outcome.at_work_when_left
+         << ", started on older " << outcome.begun_on_older
+         << ", least time left " << outcome.min_time_left.count()
+         << " ms, longest wait with a free slot "
+         << outcome.max_wait_with_slot.count() << " ms, late starts "
          << outcome.late.size();
     for (auto const& late : outcome.late)
     {
         text << "\n  version " << late.version << " at engine " << late.engine
              << " from entry " << late.entry << ": decided "
              << late.decided.count() << ", arrived " << late.arrived.count()
-             << ", begun " << late.begun.count() << " ms after the end; work "
-             << late.work << ", report " << late.report_age.count()
-             << " ms old";
+             << ", started " << late.begun.count()
+             << " ms after retirement; work " << late.work << ", report "
+             << late.report_age.count() << " ms old";
     }
     return text.str();
 }
--- a/libs/direct/tests/placement_tests.cpp
+++ b/libs/direct/tests/placement_tests.cpp
@@ -31,120 +31,120 @@
     return made;
 }
 
-// Engines e0, e1, ... at 10.0.0.N, in two failure domains by turns.
+// Engines e0, e1, ... at 10.0.0.N, alternating between two failure domains.
 endpoint_table engines(std::size_t count)
 {
-    endpoint_table book;
-    book.regions = {{"d0", "r0"}, {"d1", "r1"}};
+    endpoint_table table;
+    table.regions = {{"d0", "r0"}, {"d1", "r1"}};
     for (std::size_t number = 0; number < count; ++number)
     {
         auto const name = std::to_string(number);
-        put(book, engine(
-                      "e" + name, "10.0.0." + name + ":80",
-                      "d" + std::to_string(number % 2)));
+        put(table, engine(
+                       "e" + name, "10.0.0." + name + ":80",
+                       "d" + std::to_string(number % 2)));
     }
-    return book;
+    return table;
 }
 
-placement_query ask_from(std::string domain)
+placement_query query_from(std::string domain)
 {
-    placement_query ask;
-    ask.service = "s";
-    ask.model = "m";
-    ask.own_domain = std::move(domain);
-    return ask;
+    placement_query query;
+    query.service = "s";
+    query.model = "m";
+    query.own_domain = std::move(domain);
+    return query;
 }
 
-std::string chosen_id(endpoint_table const& book, placement_query const& ask)
+std::string chosen_id(endpoint_table const& table, placement_query const& query)
 {
     base::random_state random{3};
-    auto const found = choose(book, ask, start, random);
+    auto const found = choose(table, query, start, random);
     return found.chosen == nullptr ? "" : found.chosen->listed.id;
 }
 
 void report(
-    endpoint_table& book,
+    endpoint_table& table,
     std::string const& address,
     std::uint32_t running,
     base::time_point at = start)
 {
-    load_report said;
-    said.running = running;
-    said.weights = {"m", 1, true};
-    note_report(book, address, said, at);
+    load_report latest;
+    latest.running = running;
+    latest.weights = {"m", 1, true};
+    note_report(table, address, latest, at);
 }
 
 } // namespace
 
 TEST(placement, own_failure_domain_comes_first_while_it_has_room)
 {
-    auto book = engines(2);
-    EXPECT_EQ(chosen_id(book, ask_from("d0")), "e0");
-    EXPECT_EQ(chosen_id(book, ask_from("d1")), "e1");
-    report(book, "10.0.0.0", 12);
-    report(book, "10.0.0.1", 2);
-    EXPECT_EQ(chosen_id(book, ask_from("d0")), "e1");
+    auto table = engines(2);
+    EXPECT_EQ(chosen_id(table, query_from("d0")), "e0");
+    EXPECT_EQ(chosen_id(table, query_from("d1")), "e1");
+    report(table, "10.0.0.0", 12);
+    report(table, "10.0.0.1", 2);
+    EXPECT_EQ(chosen_id(table, query_from("d0")), "e1");
 }
 
 TEST(placement, what_may_not_serve_is_never_chosen)
 {
-    auto ask = ask_from("d0");
+    auto query = query_from("d0");
     auto draining = engines(1);
     draining.endpoints.at("e0").listed.draining = true;
-    EXPECT_EQ(chosen_id(draining, ask), "");
+    EXPECT_EQ(chosen_id(draining, query), "");
     auto out = engines(1);
     out.domains_out.insert("d0");
-    EXPECT_EQ(chosen_id(out, ask), "");
+    EXPECT_EQ(chosen_id(out, query), "");
     auto elsewhere = engines(1);
-    ask.regions = {"r1"};
-    EXPECT_EQ(chosen_id(elsewhere, ask), "");
-    ask.regions = {};
-    auto part = engines(1);
-    part.endpoints.at("e0").listed.weights.whole = false;
-    EXPECT_EQ(chosen_id(part, ask), "");
+    query.regions = {"r1"};
+    EXPECT_EQ(chosen_id(elsewhere, query), "");
+    query.regions = {};
+    auto partial = engines(1);
+    partial.endpoints.at("e0").listed.weights.whole = false;
+    EXPECT_EQ(chosen_id(partial, query), "");
     auto other = engines(1);
     other.endpoints.at("e0").listed.weights.model = "n";
-    EXPECT_EQ(chosen_id(other, ask), "");
+    EXPECT_EQ(chosen_id(other, query), "");
 }
 
-// Guards against choices that rank all entries for all engines each time.
+// Failure: every placement ranks all entries for all engines.
 TEST(placement, parts_are_worked_out_once_for_the_entries_that_are_known)
 {
     constexpr std::size_t count = 138;
-    auto book = engines(count);
+    auto table = engines(count);
     std::set<std::string> names;
     for (std::size_t entry = 0; entry < 148; ++entry)
     {
         names.insert("10.1.0." + std::to_string(entry));
     }
-    share_cache parts;
-    auto ask = ask_from("d0");
-    ask.entries = names.size();
-    ask.all_entries = &names;
-    ask.own_entry = "10.1.0.1";
-    ask.cold = {21, 5};
-    ask.parts = &parts;
+    share_cache shares;
+    auto query = query_from("d0");
+    query.entries = names.size();
+    query.all_entries = &names;
+    query.own_entry = "10.1.0.1";
+    query.cold = {21, 5};
+    query.parts = &shares;
     base::random_state random{1};
-    choose(book, ask, start, random);
-    EXPECT_EQ(parts.asked, count);
-    choose(book, ask, start, random);
-    EXPECT_EQ(parts.asked, count);
+    choose(table, query, start, random);
+    EXPECT_EQ(shares.evaluations, count);
+    choose(table, query, start, random);
+    EXPECT_EQ(shares.evaluations, count);
     names.insert("10.1.0.200");
-    choose(book, ask, start, random);
-    EXPECT_EQ(parts.asked, 2 * count);
-    // One domain has no engines any more, then another one of the same size.
-    book.domain_entries = {{"d8", {"10.1.0.8"}}, {"d9", {"10.1.0.9"}}};
-    put(book, engine("e8", "10.0.8.1:80", "d8"));
-    choose(book, ask, start, random);
-    auto const asked = parts.asked;
-    EXPECT_GT(asked, 2 * count);
-    remove(book, "e8", false, start);
-    put(book, engine("e9", "10.0.9.1:80", "d9"));
-    choose(book, ask, start, random);
-    EXPECT_GT(parts.asked, asked + count / 2);
+    choose(table, query, start, random);
+    EXPECT_EQ(shares.evaluations, 2 * count);
+    // One domain loses its engines, then another one of the same size.
+    table.domain_entries = {{"d8", {"10.1.0.8"}}, {"d9", {"10.1.0.9"}}};
+    put(table, engine("e8", "10.0.8.1:80", "d8"));
+    choose(table, query, start, random);
+    auto const evaluations = shares.evaluations;
+    EXPECT_GT(evaluations, 2 * count);
+    remove(table, "e8", false, start);
+    put(table, engine("e9", "10.0.9.1:80", "d9"));
+    choose(table, query, start, random);
+    EXPECT_GT(shares.evaluations, evaluations + count / 2);
 }
 
-// Guards against a time to begin that grows with the fleet: entries would send
+// Failure: the estimated time to start grows with the fleet, and entries send
 // nothing to an engine for the last seconds of its version.
 TEST(placement, an_older_version_is_used_as_long_in_a_large_fleet)
 {
@@ -155,20 +155,20 @@
         for (auto left = milliseconds(50); left < milliseconds(8000);
              left += milliseconds(50))
         {
-            auto book = engines(1);
-            announce_version(book, "m", {2, start, ends});
+            auto table = engines(1);
+            announce_version(table, "m", {2, start, ends});
             auto const now = ends - left;
-            report(book, "10.0.0.0", 0, now);
-            auto ask = ask_from("d0");
-            ask.entries = entries;
-            ask.expected = milliseconds(10);
+            report(table, "10.0.0.0", 0, now);
+            auto query = query_from("d0");
+            query.entries = entries;
+            query.expected = milliseconds(10);
             std::size_t senders = 0;
             for (std::size_t entry = 0; entry < entries; ++entry)
             {
-                ask.own_entry = "10.1.0." + std::to_string(entry);
+                query.own_entry = "10.1.0." + std::to_string(entry);
                 base::random_state random{entry};
                 senders +=
-                    choose(book, ask, now, random).chosen != nullptr ? 1 : 0;
+                    choose(table, query, now, random).chosen != nullptr ? 1 : 0;
             }
             if (senders > 0)
             {
@@ -179,18 +179,18 @@
     }
     EXPECT_EQ(unused[40], unused[148]);
     EXPECT_EQ(unused[148], unused[410]);
-    // A fifth of the time that a version has.
+    // A fifth of the time for which a version may be used.
     EXPECT_LE(unused[410], milliseconds(1600));
 }
 
-// Guards against entries that go on sending to engines which stand still: what
-// lies unread there runs after its callers have left.
+// Failure: entries continue to send to paused engines, and the unread requests
+// run after their callers have disconnected.
 TEST(placement, an_engine_that_fell_silent_gets_a_request_to_try_now_and_then)
 {
     for (std::size_t const entries : {8UL, 40UL, 148UL, 410UL})
     {
-        auto book = engines(1);
-        report(book, "10.0.0.0", 4);
+        auto table = engines(1);
+        report(table, "10.0.0.0", 4);
         std::size_t tries = 0;
         std::size_t most_in_a_second = 0;
         for (auto second = 1; second <= 20; ++second)
@@ -199,12 +199,12 @@
             std::size_t senders = 0;
             for (std::size_t entry = 0; entry < entries; ++entry)
             {
-                auto ask = ask_from("d0");
-                ask.entries = entries;
-                ask.own_entry = "10.1.0." + std::to_string(entry);
+                auto query = query_from("d0");
+                query.entries = entries;
+                query.own_entry = "10.1.0." + std::to_string(entry);
                 base::random_state random{entry};
                 senders +=
-                    choose(book, ask, now, random).chosen != nullptr ? 1 : 0;
+                    choose(table, query, now, random).chosen != nullptr ? 1 : 0;
             }
             tries += senders;
             most_in_a_second = std::max(most_in_a_second, senders);
@@ -214,53 +214,54 @@
     }
 }
 
-// Guards against a second request to an engine that owes the answer to the one
-// that tries it, and against one that answers being left alone for good.
+// Failures: a second request goes to an engine that still owes the answer to
+// the probing one; an engine that answers is avoided for good.
 TEST(placement, an_engine_that_is_tried_gets_nothing_more_until_it_answers)
 {
-    auto book = engines(1);
-    report(book, "10.0.0.0", 4);
+    auto table = engines(1);
+    report(table, "10.0.0.0", 4);
     auto const now = start + seconds(2);
-    auto ask = ask_from("d0");
-    ask.own_entry = "10.1.0.1";
+    auto query = query_from("d0");
+    query.own_entry = "10.1.0.1";
     base::random_state random{1};
-    ASSERT_NE(choose(book, ask, now, random).chosen, nullptr);
-    note_request_begun(book, "e0", now);
-    EXPECT_EQ(choose(book, ask, now + milliseconds(1), random).chosen, nullptr);
+    ASSERT_NE(choose(table, query, now, random).chosen, nullptr);
+    note_request_begun(table, "e0", now);
     EXPECT_EQ(
-        choose(book, ask, now + milliseconds(400), random).chosen, nullptr);
-    note_heard(book, "e0", now + milliseconds(450));
+        choose(table, query, now + milliseconds(1), random).chosen, nullptr);
+    EXPECT_EQ(
+        choose(table, query, now + milliseconds(400), random).chosen, nullptr);
+    note_heard(table, "e0", now + milliseconds(450));
     EXPECT_NE(
-        choose(book, ask, now + milliseconds(460), random).chosen, nullptr);
+        choose(table, query, now + milliseconds(460), random).chosen, nullptr);
 }
 
-// A fleet of 34 entries at full load. One engine's report shows a single free
-// slot, and every entry has a request that waits for room. Sent by all of them,
-// 33 requests stand in the engine's queue for seconds.
+// Failure: in a fleet of 34 entries at full load an engine's report shows a
+// single free slot, and every entry has a waiting request. If all entries send
+// theirs, 33 requests wait in the engine's queue for seconds.
 TEST(placement, many_entries_do_not_all_take_the_same_free_slot)
 {
     constexpr std::size_t entries = 34;
     std::vector<std::size_t> sent;
     std::set<std::string> ever;
-    for (auto draw = 0; draw < 60; ++draw)
+    for (auto round = 0; round < 60; ++round)
     {
-        auto const now = start + draw * milliseconds(100);
+        auto const now = start + round * milliseconds(100);
         std::size_t senders = 0;
         for (std::size_t entry = 0; entry < entries; ++entry)
         {
-            auto book = engines(1);
-            load_report said;
-            said.running = 15;
-            said.weights = {"m", 1, true};
-            note_report(book, "10.0.0.0", said, now);
-            auto ask = ask_from("d0");
-            ask.entries = entries;
-            ask.own_entry = "10.1.0." + std::to_string(entry);
+            auto table = engines(1);
+            load_report latest;
+            latest.running = 15;
+            latest.weights = {"m", 1, true};
+            note_report(table, "10.0.0.0", latest, now);
+            auto query = query_from("d0");
+            query.entries = entries;
+            query.own_entry = "10.1.0." + std::to_string(entry);
             base::random_state random{entry};
-            if (choose(book, ask, now, random).chosen != nullptr)
+            if (choose(table, query, now, random).chosen != nullptr)
             {
                 ++senders;
-                ever.insert(ask.own_entry);
+                ever.insert(query.own_entry);
             }
         }
         sent.push_back(senders);
@@ -268,106 +269,109 @@
     EXPECT_LE(std::ranges::max(sent), 12U);
     std::ranges::sort(sent);
     EXPECT_GE(sent[sent.size() / 2], 2U);
-    EXPECT_EQ(ever.size(), entries) << "some entry never had its turn";
+    EXPECT_EQ(ever.size(), entries) << "an entry was never selected";
 }
 
-// The same fleet just before an older version's time ends: others may have sent
-// to the engine on the same report, and what waits behind them begins too late.
+// The same fleet just before an older version retires: other entries may have
+// sent requests on the same report, and requests queued behind those start too
+// late.
 TEST(placement, many_entries_stop_sooner_before_a_version_ends)
 {
-    auto book = engines(1);
+    auto table = engines(1);
     announce_version(
-        book, "m", {2, start - seconds(7), start + milliseconds(1000)});
-    report(book, "10.0.0.0", 0);
-    auto ask = ask_from("d0");
-    ask.entries = 8;
-    EXPECT_EQ(chosen_id(book, ask), "e0");
-    ask.entries = 34;
-    EXPECT_EQ(chosen_id(book, ask), "");
+        table, "m", {2, start - seconds(7), start + milliseconds(1000)});
+    report(table, "10.0.0.0", 0);
+    auto query = query_from("d0");
+    query.entries = 8;
+    EXPECT_EQ(chosen_id(table, query), "e0");
+    query.entries = 34;
+    EXPECT_EQ(chosen_id(table, query), "");
 }
 
-// A newer version was named long ago and one engine has not reached it. A
-// caller would be answered from weights that operators withdrew.
+// Failure: a newer version was announced long ago, one engine has not switched
+// to it, and a caller is answered from retired weights.
 TEST(placement, an_engine_on_a_version_past_its_time_gets_nothing)
 {
-    auto book = engines(2);
-    announce_version(book, "m", {2, start - seconds(9), start - seconds(1)});
+    auto table = engines(2);
+    announce_version(table, "m", {2, start - seconds(9), start - seconds(1)});
     base::random_state random{3};
-    auto const none = choose(book, ask_from("d0"), start, random);
+    auto const none = choose(table, query_from("d0"), start, random);
     EXPECT_EQ(none.chosen, nullptr);
     EXPECT_EQ(none.why, no_endpoint_reason::no_weights);
-    book.endpoints.at("e1").listed.weights.version = 2;
-    auto const found = choose(book, ask_from("d0"), start, random);
+    table.endpoints.at("e1").listed.weights.version = 2;
+    auto const found = choose(table, query_from("d0"), start, random);
     ASSERT_NE(found.chosen, nullptr);
     EXPECT_EQ(found.version, 2U);
 }
 
-// A version is named and the machine is suspended for five seconds. Its steady
-// clock stood still: counted on it alone, requests would begin on the older
-// version five seconds after everybody else has stopped.
+// Failure: a version is announced and the machine is suspended for 5 s, during
+// which its steady clock does not advance. Requests start on the older version
+// for 5 s longer than at all other entries.
 TEST(placement, a_suspend_counts_towards_the_end_of_an_older_version)
 {
-    auto book = engines(1);
+    auto table = engines(1);
     announce_version(
-        book, "m", {2, start - seconds(2), start + milliseconds(5600)});
-    EXPECT_EQ(chosen_id(book, ask_from("d0")), "e0");
-    note_suspended(book, seconds(5));
-    EXPECT_EQ(chosen_id(book, ask_from("d0")), "e0");
-    note_suspended(book, milliseconds(400));
-    EXPECT_EQ(chosen_id(book, ask_from("d0")), "");
+        table, "m", {2, start - seconds(2), start + milliseconds(5600)});
+    EXPECT_EQ(chosen_id(table, query_from("d0")), "e0");
+    note_suspended(table, seconds(5));
+    EXPECT_EQ(chosen_id(table, query_from("d0")), "e0");
+    note_suspended(table, milliseconds(400));
+    EXPECT_EQ(chosen_id(table, query_from("d0")), "");
 }
 
-// All machines lose power. The list still shows engines that held weights; they
-// are back at the same addresses with nothing. An entry that has just started
-// sends to them by the list, each turns its requests away, and the repeats that
-// all entries share are spent.
+// Failure: all machines lose power and engines restart empty at the same
+// addresses, while the list still shows their former weights. An entry that has
+// just started sends to them by the list, every request is rejected, and the
+// retry budget of all entries is spent.
 TEST(placement, an_entry_that_just_started_waits_for_reports)
 {
-    auto book = engines(2);
-    auto ask = ask_from("d0");
-    ask.newcomer = true;
-    EXPECT_EQ(chosen_id(book, ask), "");
-    report(book, "10.0.0.1", 3);
-    EXPECT_EQ(chosen_id(book, ask), "e1");
-    ask.newcomer = false;
-    EXPECT_EQ(chosen_id(book, ask), "e0");
+    auto table = engines(2);
+    auto query = query_from("d0");
+    query.newcomer = true;
+    EXPECT_EQ(chosen_id(table, query), "");
+    report(table, "10.0.0.1", 3);
+    EXPECT_EQ(chosen_id(table, query), "e1");
+    query.newcomer = false;
+    EXPECT_EQ(chosen_id(table, query), "e0");
 }
 
-// The time of an older version is nearly over. A request sent to a full engine
-// waits in its queue and begins after that time: its caller is answered from
-// weights that were withdrawn.
+// Failure: an older version is about to retire. A request that is sent to a
+// full engine waits in its queue, starts too late and is answered from retired
+// weights.
 TEST(placement, a_full_engine_gets_nothing_just_before_its_version_ends)
 {
-    auto book = engines(1);
+    auto table = engines(1);
     auto const ends = start + milliseconds(1000);
-    announce_version(book, "m", {2, start - seconds(7), ends});
-    report(book, "10.0.0.0", 4);
-    EXPECT_EQ(chosen_id(book, ask_from("d0")), "e0");
-    report(book, "10.0.0.0", 16);
-    EXPECT_EQ(chosen_id(book, ask_from("d0")), "");
-    book.versions["m"].front().older_until = start + milliseconds(300);
-    report(book, "10.0.0.0", 0);
-    EXPECT_EQ(chosen_id(book, ask_from("d0")), "");
+    announce_version(table, "m", {2, start - seconds(7), ends});
+    report(table, "10.0.0.0", 4);
+    EXPECT_EQ(chosen_id(table, query_from("d0")), "e0");
+    report(table, "10.0.0.0", 16);
+    EXPECT_EQ(chosen_id(table, query_from("d0")), "");
+    table.versions["m"].front().predecessor_retires_at =
+        start + milliseconds(300);
+    report(table, "10.0.0.0", 0);
+    EXPECT_EQ(chosen_id(table, query_from("d0")), "");
 }
 
-// A request began on an older version after its time. What the entry had
-// counted on was nowhere to be read, so nobody could say whether the engine was
-// fuller than reported, the report old, or the end learned late.
+// Failure: a request started on an older version after its retirement. The
+// entry's estimates were not recorded, so that it was unclear whether the
+// engine was fuller than reported, the report was old, or the retirement became
+// known late.
 TEST(placement, a_choice_tells_what_it_went_by)
 {
-    auto book = engines(1);
-    load_report said;
-    said.running = 9;
-    said.waiting = 3;
-    said.weights = {"m", 1, true};
-    note_report(book, "10.0.0.0", said, start);
-    announce_version(book, "m", {2, start, start + seconds(7)});
-    note_request_begun(book, "e0", start + milliseconds(100));
-    auto ask = ask_from("d0");
-    ask.entries = 2;
+    auto table = engines(1);
+    load_report latest;
+    latest.running = 9;
+    latest.waiting = 3;
+    latest.weights = {"m", 1, true};
+    note_report(table, "10.0.0.0", latest, start);
+    announce_version(table, "m", {2, start, start + seconds(7)});
+    note_request_begun(table, "e0", start + milliseconds(100));
+    auto query = query_from("d0");
+    query.entries = 2;
     base::random_state random{3};
     auto const now = start + milliseconds(200);
-    auto const found = choose(book, ask, now, random);
+    auto const found = choose(table, query, now, random);
     ASSERT_NE(found.chosen, nullptr);
     auto const& expected = found.expected;
     EXPECT_EQ(expected.slots, 16U);
@@ -376,145 +380,147 @@
     EXPECT_EQ(expected.report_age, milliseconds(200));
     EXPECT_GT(expected.begins, now);
     EXPECT_EQ(expected.ends, start + seconds(7));
-    // What it expects is what decides: it is sent as long as it begins before
-    // the end.
+    // The recorded estimate is the one that decides: the request is sent as
+    // long as it starts before the retirement.
     auto const slack = *expected.ends - expected.begins;
     auto const last = now + slack - milliseconds(1);
-    note_report(book, "10.0.0.0", said, last);
-    EXPECT_NE(choose(book, ask, last, random).chosen, nullptr);
-    note_report(book, "10.0.0.0", said, now + slack);
-    EXPECT_EQ(choose(book, ask, now + slack, random).chosen, nullptr);
+    note_report(table, "10.0.0.0", latest, last);
+    EXPECT_NE(choose(table, query, last, random).chosen, nullptr);
+    note_report(table, "10.0.0.0", latest, now + slack);
+    EXPECT_EQ(choose(table, query, now + slack, random).chosen, nullptr);
 }
 
 TEST(placement, a_choice_by_the_list_tells_that_it_had_no_report)
 {
-    auto book = engines(1);
-    auto const ask = ask_from("d0");
+    auto table = engines(1);
+    auto const query = query_from("d0");
     base::random_state random{3};
-    auto const unreported = choose(book, ask, start, random).expected;
+    auto const unreported = choose(table, query, start, random).expected;
     EXPECT_FALSE(unreported.report_age);
     EXPECT_FALSE(unreported.ends);
-    report(book, "10.0.0.0", 12);
+    report(table, "10.0.0.0", 12);
     auto const later = start + seconds(2);
-    auto const stale = choose(book, ask, later, random).expected;
+    auto const stale = choose(table, query, later, random).expected;
     EXPECT_EQ(stale.report_age, seconds(2));
     EXPECT_EQ(stale.work, 0U);
 }
 
-// A request began on older weights after their time: it stood in the engine's
-// line for longer than thought. The engine is handed the version's end as the
-// deadline, so a request that needs longer than that goes elsewhere; one that
-// needs longer than a version has after the next one's naming goes in good time
-// to begin.
+// Failure: a request started on older weights after their retirement because it
+// waited in the engine's queue for longer than estimated. The engine is sent
+// the retirement time as the deadline, and a request that takes longer goes
+// elsewhere. A request that takes longer than the whole time for which a
+// version may be used is sent early enough to start.
 TEST(placement, work_on_a_version_that_ends_has_its_end_as_deadline)
 {
-    auto book = engines(1);
+    auto table = engines(1);
     auto const ends = start + milliseconds(7000);
-    auto ask = ask_from("d0");
-    ask.entries = 8;
-    ask.expected = milliseconds(1500);
+    auto query = query_from("d0");
+    query.entries = 8;
+    query.expected = milliseconds(1500);
     base::random_state random{3};
-    EXPECT_FALSE(choose(book, ask, start, random).works_until);
-    announce_version(book, "m", {2, start - seconds(1), ends});
+    EXPECT_FALSE(choose(table, query, start, random).work_deadline);
+    announce_version(table, "m", {2, start - seconds(1), ends});
     auto const at = [&](milliseconds left)
     {
-        report(book, "10.0.0.0", 0, ends - left);
-        return choose(book, ask, ends - left, random);
+        report(table, "10.0.0.0", 0, ends - left);
+        return choose(table, query, ends - left, random);
     };
-    EXPECT_EQ(at(milliseconds(6000)).works_until, ends);
-    EXPECT_EQ(at(milliseconds(1501)).works_until, ends);
+    EXPECT_EQ(at(milliseconds(6000)).work_deadline, ends);
+    EXPECT_EQ(at(milliseconds(1501)).work_deadline, ends);
     EXPECT_EQ(at(milliseconds(1500)).chosen, nullptr);
-    ask.expected = milliseconds(5000);
-    EXPECT_EQ(at(milliseconds(5001)).works_until, ends);
+    query.expected = milliseconds(5000);
+    EXPECT_EQ(at(milliseconds(5001)).work_deadline, ends);
     EXPECT_EQ(at(milliseconds(5000)).chosen, nullptr);
     EXPECT_EQ(at(milliseconds(3000)).chosen, nullptr);
-    ask.expected = milliseconds(8000);
+    query.expected = milliseconds(8000);
     EXPECT_EQ(at(milliseconds(2999)).chosen, nullptr);
     ASSERT_NE(at(milliseconds(3000)).chosen, nullptr);
-    EXPECT_FALSE(at(milliseconds(3000)).works_until);
-    // A stream that goes on has nowhere else to go.
-    ask.version = 1;
-    EXPECT_EQ(at(milliseconds(1000)).works_until, ends);
+    EXPECT_FALSE(at(milliseconds(3000)).work_deadline);
+    // A stream that continues on this version has no alternative.
+    query.version = 1;
+    EXPECT_EQ(at(milliseconds(1000)).work_deadline, ends);
     EXPECT_EQ(at(milliseconds(400)).chosen, nullptr);
 }
 
-// A stream is cut in the middle of a version change and goes on elsewhere.
-// Its rest must come from the weights that it began with.
+// Failure: a stream breaks during a version change, is resumed elsewhere, and
+// its rest comes from other weights than its beginning.
 TEST(placement, a_stream_goes_on_with_its_version_only)
 {
-    auto book = engines(2);
-    book.endpoints.at("e1").listed.weights.version = 2;
-    auto ask = ask_from("d1");
-    ask.version = 1;
-    EXPECT_EQ(chosen_id(book, ask), "e0");
-    ask.version = 3;
-    EXPECT_EQ(chosen_id(book, ask), "");
+    auto table = engines(2);
+    table.endpoints.at("e1").listed.weights.version = 2;
+    auto query = query_from("d1");
+    query.version = 1;
+    EXPECT_EQ(chosen_id(table, query), "e0");
+    query.version = 3;
+    EXPECT_EQ(chosen_id(table, query), "");
 }
 
 TEST(placement, an_engine_that_switches_soon_gets_only_what_ends_before)
 {
-    auto book = engines(1);
-    load_report said;
-    said.weights = {"m", 1, true};
-    said.switches_at = start + milliseconds(800);
-    note_report(book, "10.0.0.0", said, start);
-    auto ask = ask_from("d0");
-    ask.expected = milliseconds(500);
-    EXPECT_EQ(chosen_id(book, ask), "e0");
-    ask.expected = milliseconds(900);
-    EXPECT_EQ(chosen_id(book, ask), "");
-    ask.version = 1;
-    EXPECT_EQ(chosen_id(book, ask), "e0");
+    auto table = engines(1);
+    load_report latest;
+    latest.weights = {"m", 1, true};
+    latest.switches_at = start + milliseconds(800);
+    note_report(table, "10.0.0.0", latest, start);
+    auto query = query_from("d0");
+    query.expected = milliseconds(500);
+    EXPECT_EQ(chosen_id(table, query), "e0");
+    query.expected = milliseconds(900);
+    EXPECT_EQ(chosen_id(table, query), "");
+    query.version = 1;
+    EXPECT_EQ(chosen_id(table, query), "e0");
 }
 
 TEST(placement, a_silent_agents_engine_is_the_last_choice)
 {
-    auto book = engines(2);
-    report(book, "10.0.0.0", 0);
-    report(book, "10.0.0.1", 15);
-    book.endpoints.at("e0").reported = start - seconds(2);
-    EXPECT_EQ(chosen_id(book, ask_from("d0")), "e1");
-    book.endpoints.erase("e1");
-    EXPECT_EQ(chosen_id(book, ask_from("d0")), "e0");
+    auto table = engines(2);
+    report(table, "10.0.0.0", 0);
+    report(table, "10.0.0.1", 15);
+    table.endpoints.at("e0").reported = start - seconds(2);
+    EXPECT_EQ(chosen_id(table, query_from("d0")), "e1");
+    table.endpoints.erase("e1");
+    EXPECT_EQ(chosen_id(table, query_from("d0")), "e0");
 }
 
 TEST(placement, full_engines_leave_the_request_waiting)
 {
-    auto book = engines(2);
-    report(book, "10.0.0.0", 17);
-    report(book, "10.0.0.1", 17);
+    auto table = engines(2);
+    report(table, "10.0.0.0", 17);
+    report(table, "10.0.0.1", 17);
     base::random_state random{3};
-    auto const none = choose(book, ask_from("d0"), start, random);
+    auto const none = choose(table, query_from("d0"), start, random);
     EXPECT_EQ(none.chosen, nullptr);
     EXPECT_EQ(none.why, no_endpoint_reason::all_busy);
 }
 
-// One engine fails four answers in ten while its health is good. Its callers
-// see faults for as long as it gets its share.
+// Failure: an engine fails four of ten answers while its health check passes,
+// and callers see errors for as long as it gets its full share.
 TEST(placement, an_engine_whose_answers_are_faults_gets_little)
 {
-    auto book = engines(4);
+    auto table = engines(4);
     base::random_state random{7};
     std::map<std::string, int> counts;
     for (auto number = 0; number < 1000; ++number)
     {
         auto const now = start + milliseconds(number * 10);
-        auto const found = choose(book, ask_from("d0"), now, random);
+        auto const found = choose(table, query_from("d0"), now, random);
         auto const id = found.chosen->listed.id;
         ++counts[id];
-        note_request_begun(book, id, now);
+        note_request_begun(table, id, now);
         auto const faulty = id == "e0" && base::random_below(random, 10) < 4;
-        note_request_ended(book, id, faulty ? request_outcome::faulty : request_outcome::answered, now);
+        note_request_ended(
+            table, id,
+            faulty ? request_outcome::faulty : request_outcome::answered, now);
     }
     EXPECT_LT(counts["e0"], counts["e2"] / 2);
 }
 
-// Eight entries see the load a tenth of a second late. If all follow the same
-// report, one engine gets everything until the next one.
+// Failure: eight entries see the load 0.1 s late, all follow the same report,
+// and one engine gets all requests until the next report.
 TEST(placement, entries_with_the_same_report_do_not_herd)
 {
     constexpr std::size_t entries = 8;
-    std::vector<endpoint_table> books(entries, engines(8));
+    std::vector<endpoint_table> tables(entries, engines(8));
     std::vector<base::random_state> seeds;
     for (std::size_t entry = 0; entry < entries; ++entry)
     {
@@ -525,7 +531,7 @@
     {
         for (auto number = 0; number < 8; ++number)
         {
-            report(books[entry], "10.0.0." + std::to_string(number), 4);
+            report(tables[entry], "10.0.0." + std::to_string(number), 4);
         }
     }
     for (auto round = 0; round < 3; ++round)
@@ -533,8 +539,8 @@
         for (std::size_t entry = 0; entry < entries; ++entry)
         {
             auto const found =
-                choose(books[entry], ask_from("d0"), start, seeds[entry]);
-            note_request_begun(books[entry], found.chosen->listed.id, start);
+                choose(tables[entry], query_from("d0"), start, seeds[entry]);
+            note_request_begun(tables[entry], found.chosen->listed.id, start);
             ++running[found.chosen->listed.id];
         }
     }
@@ -548,25 +554,25 @@
     EXPECT_LE(most->second, 10U);
 }
 
-// Seven of eight engines are gone when one comes back empty, and every entry
-// has requests waiting. All are sent there within the same tenth of a second.
+// Failure: seven of eight engines are gone, one returns empty, and all entries
+// send their waiting requests to it within the same 0.1 s.
 TEST(placement, an_engine_that_returns_is_not_overrun)
 {
     constexpr std::size_t entries = 8;
-    std::vector<endpoint_table> books(entries, engines(1));
+    std::vector<endpoint_table> tables(entries, engines(1));
     std::uint32_t sent = 0;
-    for (auto& book : books)
+    for (auto& table : tables)
     {
-        report(book, "10.0.0.0", 0);
-        auto ask = ask_from("d0");
-        ask.entries = entries;
+        report(table, "10.0.0.0", 0);
+        auto query = query_from("d0");
+        query.entries = entries;
         base::random_state random{5};
         for (auto waiting = 0; waiting < 20; ++waiting)
         {
-            auto const found = choose(book, ask, start, random);
+            auto const found = choose(table, query, start, random);
             if (found.chosen != nullptr)
             {
-                note_request_begun(book, found.chosen->listed.id, start);
+                note_request_begun(table, found.chosen->listed.id, start);
                 ++sent;
             }
         }
@@ -575,8 +581,9 @@
     EXPECT_LE(sent, 24U);
 }
 
-// Lasting overload: there is always a line. What has waited half its goal is
-// answered late and has taken the place of another that is late in turn.
+// Under sustained overload there is always a queue. A request that has waited
+// for half its goal is answered late and displaces another one, which is late
+// in turn.
 TEST(longest_wait, leaves_time_for_the_first_event)
 {
     request::measured_time first;
@@ -589,19 +596,20 @@
     EXPECT_EQ(max_wait(milliseconds(400), first), milliseconds(200));
 }
 
-// A caller that was refused comes back when its goal is past. Served before
-// fresh ones, it makes one of them late for an answer that is late itself.
+// Failure: a caller that was refused comes back when its goal has expired. If
+// it is served before new requests, one of them misses its goal in favour of an
+// answer that is late anyway.
 TEST(placement, callers_who_have_come_back_get_room_to_spare_only)
 {
-    auto book = engines(1);
-    auto ask = ask_from("d0");
-    ask.depth = depth_for_expired_goal(16);
-    report(book, "10.0.0.0", 14);
-    EXPECT_EQ(chosen_id(book, ask), "e0");
-    report(book, "10.0.0.0", 15);
-    EXPECT_EQ(chosen_id(book, ask), "");
-    ask.depth = 0;
-    EXPECT_EQ(chosen_id(book, ask), "e0");
+    auto table = engines(1);
+    auto query = query_from("d0");
+    query.depth = depth_for_expired_goal(16);
+    report(table, "10.0.0.0", 14);
+    EXPECT_EQ(chosen_id(table, query), "e0");
+    report(table, "10.0.0.0", 15);
+    EXPECT_EQ(chosen_id(table, query), "");
+    query.depth = 0;
+    EXPECT_EQ(chosen_id(table, query), "e0");
 }
 
 TEST(expected_time, grows_with_the_answer_and_falls_back_to_the_usual)
--- a/libs/direct/tests/platform_outage_tests.cpp
+++ b/libs/direct/tests/platform_outage_tests.cpp
@@ -18,9 +18,9 @@
 
 } // namespace
 
-// The platform is away for eight seconds and operators name a version in
-// them. When it is back, the entries take the version for one whose time is
-// over, refuse everybody, and the weights arrive four seconds later.
+// Failure: the platform is down for 8 s, and operators announce a version
+// meanwhile. When it is back, the entries consider the older version retired
+// and refuse all requests, and the new weights arrive 4 s later.
 TEST(platform_outage, a_version_named_meanwhile_counts_from_its_end)
 {
     platform_outage outage;
@@ -32,9 +32,9 @@
     EXPECT_EQ(accepted_since(outage, at(milliseconds(-500))), at(seconds(8)));
 }
 
-// A process stands still for six seconds. Its four waiting calls have failed
-// when it goes on, all of them begun before. The platform was there: others
-// count the version from its naming, and so must this one.
+// A process is paused for 6 s. Its four pending calls, all begun before, have
+// failed when it resumes. The platform was available: other processes count the
+// version from its announcement, and so must this one.
 TEST(platform_outage, calls_that_failed_together_prove_nothing)
 {
     platform_outage outage;
@@ -46,8 +46,8 @@
         accepted_since(outage, at(milliseconds(-100))), at(milliseconds(-100)));
 }
 
-// One connection falls silent, then the next one does. The other kinds of
-// objects are read in between, so that the platform was there.
+// One connection fails, then the next one. Other kinds of objects are read in
+// between, so the platform was available.
 TEST(platform_outage, failures_with_answers_in_between_prove_nothing)
 {
     platform_outage outage;
@@ -59,8 +59,8 @@
     EXPECT_EQ(accepted_since(outage, at(milliseconds(0))), at(milliseconds(0)));
 }
 
-// The outage is long over: what was confirmed after it bounds the next
-// version, not the outage.
+// After an outage that ended long ago, the latest confirmation counts for the
+// next version.
 TEST(platform_outage, a_later_confirmation_goes_before_an_earlier_outage)
 {
     platform_outage outage;
