--- a/libs/direct/tests/played_agents.cpp
+++ b/libs/direct/tests/played_agents.cpp
@@ -14,15 +14,15 @@
 
 using std::chrono::milliseconds;
 
-// As the agent does it.
+// Values of the agent process.
 constexpr std::uint64_t remote_interval = 4;
 constexpr milliseconds order_limit{1000};
 constexpr milliseconds order_pause{300};
 constexpr milliseconds switch_notice{2500};
 constexpr std::size_t chunk_count = 64;
 
-std::size_t
-missing_chunks(world const& state, std::size_t number, std::uint64_t version)
+std::size_t missing_chunks(
+    simulation const& state, std::size_t number, std::uint64_t version)
 {
     auto const& chunks = state.agents[number].chunks;
     auto const found = chunks.find(version);
@@ -39,7 +39,7 @@
 }
 
 std::optional<base::time_point>
-whole_at(world const& state, std::size_t number, std::uint64_t version)
+complete_at(simulation const& state, std::size_t number, std::uint64_t version)
 {
     auto const& own = state.agents[number];
     auto const found = own.chunks.find(version);
@@ -62,17 +62,17 @@
     return at;
 }
 
-weights::switch_ask switch_ask_of(world const& state, std::size_t number)
+weights::switch_ask switch_ask_of(simulation const& state, std::size_t number)
 {
     auto const& own = state.agents[number];
     weights::switch_ask ask;
-    ask.serving = own.seen.weights.version;
+    ask.serving = own.last_state.weights.version;
     ask.targets = own.targets;
     ask.bound = version_bound;
     ask.arrival = own.arrival;
     ask.whole = [&state, number](std::uint64_t version)
     {
-        return whole_at(state, number, version);
+        return complete_at(state, number, version);
     };
     ask.agents = 0;
     for (std::size_t other = 0; other < state.agents.size(); ++other)
@@ -84,7 +84,7 @@
     return ask;
 }
 
-std::uint64_t next_version(world const& state, std::size_t number)
+std::uint64_t next_version(simulation const& state, std::size_t number)
 {
     auto const ask = switch_ask_of(state, number);
     return weights::fall_back(
@@ -97,7 +97,7 @@
 }
 
 std::optional<base::time_point>
-expected_switch(world const& state, std::size_t number)
+expected_switch(simulation const& state, std::size_t number)
 {
     auto const ask = switch_ask_of(state, number);
     auto const target = next_version(state, number);
@@ -109,22 +109,23 @@
     return at - state.now <= switch_notice ? std::optional(at) : std::nullopt;
 }
 
-void tell(world& state, std::size_t number, bool at_once)
+void send_report(simulation& state, std::size_t number, bool at_once)
 {
-    constexpr int longest_way = 4;
+    constexpr int max_delay = 4;
     auto& own = state.agents[number];
-    auto report = own.seen;
+    auto report = own.last_state;
     report.switching = own.switching || own.busy;
     report.switches_at = expected_switch(state, number);
     if (report.switches_at)
     {
         report.switches_at = std::max(*report.switches_at, state.now);
     }
-    auto const late = is_hit(state.course.late_reports, number, state.now);
-    own.link_clear = std::max(
-        own.link_clear,
-        state.now + (late ? state.course.report_delay : milliseconds(0)));
-    auto const on_link = rounded(own.link_clear - state.now);
+    auto const late =
+        is_affected(state.scenario.late_reports, number, state.now);
+    own.link_free_at = std::max(
+        own.link_free_at,
+        state.now + (late ? state.scenario.report_delay : milliseconds(0)));
+    auto const on_link = to_milliseconds(own.link_free_at - state.now);
     auto const to_all = at_once || own.rounds++ % remote_interval == 0;
     for (auto& entry : state.entries)
     {
@@ -132,33 +133,33 @@
         {
             continue;
         }
-        later(
-            state, on_link + random_time(state.random, 1, longest_way),
+        schedule(
+            state, on_link + random_time(state.random, 1, max_delay),
             [&state, &entry, number, report]
             {
                 note_report(
-                    entry.book, ip_of_engine(number), report, state.now);
+                    entry.table, ip_of_engine(number), report, state.now);
                 serve_waiting(state, entry);
             });
     }
 }
 
-void look_at_engine(world& state, std::size_t number)
+void read_engine_state(simulation& state, std::size_t number)
 {
     auto& own = state.agents[number];
     auto const& engine = state.engines[number];
-    own.seen.running = static_cast<std::uint32_t>(engine.running.size());
-    own.seen.waiting = static_cast<std::uint32_t>(engine.line.size());
-    own.seen.pace = engine.slowness;
-    own.seen.weights = {model_name, engine.version, true};
+    own.last_state.running = static_cast<std::uint32_t>(engine.running.size());
+    own.last_state.waiting = static_cast<std::uint32_t>(engine.queue.size());
+    own.last_state.pace = engine.slowdown;
+    own.last_state.weights = {model_name, engine.version, true};
     own.busy = engine.ordered.has_value();
 }
 
-void order(world& state, std::size_t number)
+void order(simulation& state, std::size_t number)
 {
-    if (is_hit(state.course.agent_pauses, number, state.now))
+    if (is_affected(state.scenario.agent_pauses, number, state.now))
     {
-        later(
+        schedule(
             state, report_interval,
             [&state, number]
             {
@@ -170,49 +171,51 @@
     own.verifying = false;
     own.ordering = true;
     own.switching = true;
-    tell(state, number, true);
-    auto const lost = is_hit(state.course.orders_lost, number, state.now);
+    send_report(state, number, true);
+    auto const lost =
+        is_affected(state.scenario.orders_lost, number, state.now);
     if (!lost)
     {
-        reach(
+        deliver(
             state, number,
             [&state, number, version = own.staged]
             {
                 accept_order(state.engines[number], version);
             });
     }
-    later(
+    schedule(
         state, lost ? order_limit : 2 * wire_time,
         [&state, number]
         {
             state.agents[number].ordering = false;
-            state.agents[number].order_again = state.now + order_pause;
+            state.agents[number].next_order = state.now + order_pause;
         });
 }
 
-void settle(world const& state, played_agent& own)
+void update_switching(simulation const& state, simulated_agent& own)
 {
     if (!own.switching || own.ordering)
     {
         return;
     }
-    auto const done = own.seen.weights.version >= own.staged;
-    if (done || (!own.busy && state.now >= own.order_again))
+    auto const done = own.last_state.weights.version >= own.staged;
+    if (done || (!own.busy && state.now >= own.next_order))
     {
         own.switching = false;
     }
 }
 
-void drive(world& state, std::size_t number)
+void advance_switch(simulation& state, std::size_t number)
 {
-    // Looking at all staged chunks once more.
-    constexpr int least_look = 40;
-    constexpr int most_look = 200;
+    // Verification of all staged chunks.
+    constexpr int min_verify_time = 40;
+    constexpr int max_verify_time = 200;
     auto& own = state.agents[number];
-    settle(state, own);
+    update_switching(state, own);
     auto const target = next_version(state, number);
     if (own.switching || own.busy || own.verifying || own.ordering ||
-        own.seen.weights.version >= target || state.now < own.order_again ||
+        own.last_state.weights.version >= target ||
+        state.now < own.next_order ||
         missing_chunks(state, number, target) > 0 ||
         state.now < weights::switch_turn(switch_ask_of(state, number), target))
     {
@@ -220,15 +223,15 @@
     }
     own.verifying = true;
     own.staged = target;
-    later(
-        state, random_time(state.random, least_look, most_look),
+    schedule(
+        state, random_time(state.random, min_verify_time, max_verify_time),
         [&state, number]
         {
             order(state, number);
         });
 }
 
-void note_whole(world& state, played_agent& own)
+void note_complete(simulation& state, simulated_agent& own)
 {
     for (auto const& [version, time] : own.chunks)
     {
@@ -236,77 +239,79 @@
             own.targets, version, &weights::named_target::version);
         if (state.now >= start + time.to)
         {
-            own.arrival = rounded(start + time.to - named->named);
+            own.arrival = to_milliseconds(start + time.to - named->named);
         }
     }
 }
 
-void take_notice(world& state, std::size_t number, named_version const& told)
+void take_notice(
+    simulation& state, std::size_t number, announced_version const& announced)
 {
-    constexpr int least_arrival = 2900;
-    constexpr int most_arrival = 4000;
+    constexpr int min_arrival = 2900;
+    constexpr int max_arrival = 4000;
     auto& own = state.agents[number];
     auto const known =
-        !own.targets.empty() && own.targets.back().version >= told.version;
-    if (known || is_hit(state.course.agent_pauses, number, state.now))
+        !own.targets.empty() && own.targets.back().version >= announced.version;
+    if (known || is_affected(state.scenario.agent_pauses, number, state.now))
     {
         return;
     }
-    own.targets.push_back({told.version, told.learned});
-    auto arrival = random_time(state.random, least_arrival, most_arrival);
-    if (state.course.late_chunks.contains(number))
+    own.targets.push_back({announced.version, announced.learned});
+    auto arrival = random_time(state.random, min_arrival, max_arrival);
+    if (state.scenario.late_chunks.contains(number))
     {
-        arrival += state.course.chunk_delay;
+        arrival += state.scenario.chunk_delay;
     }
-    own.chunks[told.version] = {
-        rounded(state.now - start), rounded(told.learned + arrival - start)};
+    own.chunks[announced.version] = {
+        to_milliseconds(state.now - start),
+        to_milliseconds(announced.learned + arrival - start)};
 }
 
 } // namespace
 
-void poll(world& state, std::size_t number)
+void poll(simulation& state, std::size_t number)
 {
-    later(
+    schedule(
         state, report_interval,
         [&state, number]
         {
             poll(state, number);
         });
-    if (is_hit(state.course.agent_pauses, number, state.now))
+    if (is_affected(state.scenario.agent_pauses, number, state.now))
     {
         return;
     }
-    look_at_engine(state, number);
-    // The engine's answer takes a moment; what it says is as old.
-    constexpr int longest_answer = 6;
-    later(
-        state, random_time(state.random, 1, longest_answer),
+    read_engine_state(state, number);
+    // The engine's answer takes a moment, and its content is as old.
+    constexpr int max_answer_time = 6;
+    schedule(
+        state, random_time(state.random, 1, max_answer_time),
         [&state, number]
         {
-            tell(state, number, false);
-            note_whole(state, state.agents[number]);
-            drive(state, number);
+            send_report(state, number, false);
+            note_complete(state, state.agents[number]);
+            advance_switch(state, number);
         });
 }
 
-void subscribe(world& state, played_entry& entry)
+void subscribe(simulation& state, simulated_entry& entry)
 {
-    later(
+    schedule(
         state, subscription_interval,
         [&state, &entry]
         {
             subscribe(state, entry);
         });
-    auto const known = entry.book.versions[model_name];
+    auto const known = entry.table.versions[model_name];
     for (std::size_t number = 0; number < state.agents.size(); ++number)
     {
-        for (auto const& named : known)
+        for (auto const& announced : known)
         {
-            later(
+            schedule(
                 state, wire_time,
-                [&state, number, named]
+                [&state, number, announced]
                 {
-                    take_notice(state, number, named);
+                    take_notice(state, number, announced);
                 });
         }
     }
--- a/libs/direct/tests/played_agents.hpp
+++ b/libs/direct/tests/played_agents.hpp
@@ -5,16 +5,17 @@
 
 #include <cstddef>
 
-// Agents of a played fleet: they report on their engines and switch them.
+// Agents of a simulated fleet: they report on their engines and switch them.
 namespace foxtailvale::direct
 {
 
-// Asks the engine, tells the entries and goes on with a switch; again and
-// again.
-void poll(world& state, std::size_t number);
+// Polls the engine, reports to the entries and continues a switch. Repeats
+// itself every report_interval.
+void poll(simulation& state, std::size_t number);
 
-// Entries tell agents once a second which versions are named.
-void subscribe(world& state, played_entry& entry);
+// Sends the announced versions to all agents. Repeats itself every
+// subscription_interval.
+void subscribe(simulation& state, simulated_entry& entry);
 
 } // namespace foxtailvale::direct
 
--- a/libs/direct/tests/played_answers.cpp
+++ b/libs/direct/tests/played_answers.cpp
@@ -14,9 +14,9 @@
 
 using std::chrono::milliseconds;
 
-// The check: a version's time ends 8 s after the next one was named.
-void check_beginning(
-    world& state,
+// Checks that a version retires 8 s after the next one was announced.
+void check_start(
+    simulation& state,
     std::size_t engine,
     std::uint64_t attempt,
     std::uint64_t version)
@@ -24,47 +24,49 @@
     auto const& sent = state.sent.at(attempt);
     if (sent.report_age >= milliseconds(0) && sent.work < state.costs.slots)
     {
-        auto const waited = rounded(state.now - sent.arrived);
-        state.outcome.longest_with_slot =
-            std::max(state.outcome.longest_with_slot, waited);
+        auto const waited = to_milliseconds(state.now - sent.arrived);
+        state.outcome.max_wait_with_slot =
+            std::max(state.outcome.max_wait_with_slot, waited);
     }
-    auto const& named = state.course.named;
+    auto const& announced_at = state.scenario.announced_at;
     auto const next = version - 1;
-    if (next >= named.size() || state.now < start + named[next])
+    if (next >= announced_at.size() || state.now < start + announced_at[next])
     {
         return;
     }
-    auto const end = start + named[next] + version_bound;
+    auto const end = start + announced_at[next] + version_bound;
     auto& outcome = state.outcome;
     ++outcome.begun_on_older;
-    outcome.least_left = std::min(outcome.least_left, rounded(end - state.now));
+    outcome.min_time_left =
+        std::min(outcome.min_time_left, to_milliseconds(end - state.now));
     if (state.now <= end)
     {
         return;
     }
     outcome.late.push_back(
         {sent.entry, engine, version, sent.work, sent.report_age,
-         rounded(sent.decided - end), rounded(sent.arrived - end),
-         rounded(state.now - end)});
+         to_milliseconds(sent.decided - end),
+         to_milliseconds(sent.arrived - end),
+         to_milliseconds(state.now - end)});
 }
 
-void take_first_event(world& state, caller_request& asked)
+void take_first_event(simulation& state, caller_request& call)
 {
-    if (std::exchange(asked.answer_begun, true))
+    if (std::exchange(call.answer_begun, true))
     {
         return;
     }
-    asked.first_event = state.now;
-    if (asked.sends == 1)
+    call.first_event = state.now;
+    if (call.sends == 1)
     {
         request::note(
-            state.entries[asked.entry].first_answer,
+            state.entries[call.entry].first_answer,
             std::chrono::duration_cast<std::chrono::microseconds>(
-                state.now - asked.decided));
+                state.now - call.decided));
     }
 }
 
-void hear(world& state, engine_event const& event)
+void handle_event(simulation& state, engine_event const& event)
 {
     auto const& sent = state.sent.at(event.number);
     auto const found = state.callers.find(sent.caller);
@@ -72,56 +74,56 @@
     {
         return;
     }
-    auto& asked = found->second;
-    asked.last_byte = state.now;
+    auto& call = found->second;
+    call.last_byte = state.now;
     note_heard(
-        state.entries[asked.entry].book, id_of_engine(sent.engine), state.now);
-    switch (event.word)
+        state.entries[call.entry].table, id_of_engine(sent.engine), state.now);
+    switch (event.kind)
     {
-    case engine_word::began:
-        ++asked.events;
-        asked.last_heard = state.now;
-        take_first_event(state, asked);
+    case engine_event_kind::began:
+        ++call.events;
+        call.last_heard = state.now;
+        take_first_event(state, call);
         return;
-    case engine_word::wrote:
-        ++asked.events;
-        asked.last_heard = state.now;
+    case engine_event_kind::wrote:
+        ++call.events;
+        call.last_heard = state.now;
         return;
-    case engine_word::answered:
-        end_attempt(state, asked, request_outcome::answered);
-        end_request(state, sent.caller, final_word::answered);
+    case engine_event_kind::answered:
+        end_attempt(state, call, request_outcome::answered);
+        end_request(state, sent.caller, final_outcome::answered);
         return;
-    case engine_word::declined:
-        end_attempt(state, asked, request_outcome::declined);
-        after_failure(state, asked, base::ran_state::no);
+    case engine_event_kind::declined:
+        end_attempt(state, call, request_outcome::declined);
+        after_failure(state, call, base::ran_state::no);
         return;
-    case engine_word::misdirected:
-        end_attempt(state, asked, request_outcome::misdirected);
-        after_failure(state, asked, base::ran_state::no);
+    case engine_event_kind::misdirected:
+        end_attempt(state, call, request_outcome::misdirected);
+        after_failure(state, call, base::ran_state::no);
         return;
-    case engine_word::stopped:
-        end_attempt(state, asked, request_outcome::faulty);
-        after_failure(state, asked, base::ran_state::yes);
+    case engine_event_kind::stopped:
+        end_attempt(state, call, request_outcome::faulty);
+        after_failure(state, call, base::ran_state::yes);
         return;
     }
 }
 
-void list_version(world& state, std::size_t number)
+void list_version(simulation& state, std::size_t number)
 {
     constexpr int least = 400;
     constexpr int most = 1300;
     auto const version = state.engines[number].version;
     for (auto& entry : state.entries)
     {
-        later(
+        schedule(
             state, random_time(state.random, least, most),
             [&state, &entry, number, version]
             {
                 auto record =
-                    entry.book.endpoints.at(id_of_engine(number)).listed;
+                    entry.table.endpoints.at(id_of_engine(number)).listed;
                 record.weights.version =
                     std::max(record.weights.version, version);
-                put(entry.book, std::move(record));
+                put(entry.table, std::move(record));
                 serve_waiting(state, entry);
             });
     }
@@ -129,15 +131,15 @@
 
 } // namespace
 
-void go_on(world& state, std::size_t number)
+void resume(simulation& state, std::size_t number)
 {
     if (!state.paused.contains(number) ||
-        is_hit(state.course.engine_pauses, number, state.now))
+        is_affected(state.scenario.engine_pauses, number, state.now))
     {
         return;
     }
     auto const paused = state.paused.extract(number).mapped();
-    if (!state.course.works_unheard)
+    if (!state.scenario.works_while_paused)
     {
         return;
     }
@@ -147,32 +149,32 @@
     }
 }
 
-void work_engine(world& state, std::size_t number)
+void work_engine(simulation& state, std::size_t number)
 {
     auto& engine = state.engines[number];
-    if (is_hit(state.course.engine_pauses, number, state.now))
+    if (is_affected(state.scenario.engine_pauses, number, state.now))
     {
         state.paused.try_emplace(number, state.now);
         return;
     }
     auto const before = engine.version;
-    engine.slowness = is_hit(state.course.slow, number, state.now)
-                          ? state.course.slowness
+    engine.slowdown = is_affected(state.scenario.slow, number, state.now)
+                          ? state.scenario.slowdown
                           : 1;
     work(engine, state.now);
-    auto const said = std::exchange(engine.said, {});
-    for (auto const& event : said)
+    auto const pending = std::exchange(engine.pending, {});
+    for (auto const& event : pending)
     {
-        note_word(state, event);
-        if (event.word == engine_word::began)
+        check_work_after_leaving(state, event);
+        if (event.kind == engine_event_kind::began)
         {
-            check_beginning(state, number, event.number, event.version);
+            check_start(state, number, event.number, event.version);
         }
-        later(
+        schedule(
             state, wire_time,
             [&state, event]
             {
-                hear(state, event);
+                handle_event(state, event);
             });
     }
     if (engine.version != before)
--- a/libs/direct/tests/played_answers.hpp
+++ b/libs/direct/tests/played_answers.hpp
@@ -5,16 +5,17 @@
 
 #include <cstddef>
 
-// What engines of a played fleet say, and how entries take it.
+// Answers of the engines of a simulated fleet, and how entries handle them.
 namespace foxtailvale::direct
 {
 
-// An engine that stood still goes on, before it reads what came meanwhile: what
-// it had read may have been worked on in that time.
-void go_on(world& state, std::size_t number);
+// Resumes an engine whose pause has ended, before it reads what has arrived
+// meanwhile. With works_while_paused, it catches up on the requests that it had
+// read.
+void resume(simulation& state, std::size_t number);
 
-// Lets the engine work until now, and passes on what it says.
-void work_engine(world& state, std::size_t number);
+// Advances the engine to the current time and sends its events.
+void work_engine(simulation& state, std::size_t number);
 
 } // namespace foxtailvale::direct
 
--- a/libs/direct/tests/played_callers.cpp
+++ b/libs/direct/tests/played_callers.cpp
@@ -15,37 +15,37 @@
 
 constexpr milliseconds caller_time{6000};
 
-// Whether the engine has read the attempt, not ended it, and would work on it
-// for long enough to be asked about.
-bool is_at_work(world const& state, std::uint64_t attempt)
+// Whether the engine has read the attempt, has not ended it and would work on
+// it for long enough to be checked.
+bool is_at_work(simulation const& state, std::uint64_t attempt)
 {
     auto const& engine = state.engines[state.sent.at(attempt).engine];
-    auto const is_it = [attempt](played_request const& request)
+    auto const is_it = [attempt](simulated_request const& request)
     {
         return request.number == attempt;
     };
-    if (std::ranges::any_of(engine.line, is_it))
+    if (std::ranges::any_of(engine.queue, is_it))
     {
         return true;
     }
     auto const found = std::ranges::find_if(engine.running, is_it);
     return found != engine.running.end() &&
-           found->to_write * state.costs.step > run_on_time;
+           found->to_write * state.costs.step > max_work_after_leaving;
 }
 
-// A caller that is refused comes back once, if there is time.
-void refuse(world& state, caller_request& asked)
+// A refused caller sends its request once more if there is time.
+void refuse(simulation& state, caller_request& call)
 {
     constexpr int least = 400;
     constexpr int most = 1400;
     auto const after = random_time(state.random, least, most);
-    if (asked.came_back || state.now + 3 * after > asked.deadline)
+    if (call.sent_again || state.now + 3 * after > call.deadline)
     {
-        end_request(state, asked.number, final_word::refused);
+        end_request(state, call.number, final_outcome::refused);
         return;
     }
-    auto const number = asked.number;
-    later(
+    auto const number = call.number;
+    schedule(
         state, after,
         [&state, number]
         {
@@ -53,72 +53,74 @@
             auto const same = caller_request{
                 .number = back.number,
                 .entry = back.entry,
-                .asked = back.asked,
+                .requested_at = back.requested_at,
                 .deadline = back.deadline,
                 .prompt = back.prompt,
                 .answer = back.answer,
                 .hint = back.hint,
-                .came_back = true,
+                .sent_again = true,
                 .last_heard = state.now};
             back = same;
-            back.returned = true;
+            back.is_resent = true;
             admit(state, number);
         });
 }
 
-void ask(world& state)
+void start_call(simulation& state)
 {
     constexpr double hint_spread = 0.5;
     constexpr double prompt_spread = 1;
     constexpr double answer_spread = 0.85;
     constexpr double most = 3;
-    caller_request asked;
-    asked.number = ++state.numbers;
-    asked.entry = base::random_below(state.random, state.entries.size());
-    asked.asked = state.now;
-    asked.deadline = state.now + caller_time;
-    asked.last_heard = state.now;
-    asked.prompt = 1 + state.costs.usual_prompt *
-                           lognormal(state.random, prompt_spread, most);
-    asked.answer = 1 + state.costs.usual_answer *
-                           lognormal(state.random, answer_spread, most);
-    asked.hint = asked.answer * lognormal(state.random, hint_spread, 2 * most);
-    ++state.outcome.asked;
-    state.callers[asked.number] = asked;
-    admit(state, asked.number);
+    caller_request call;
+    call.number = ++state.numbers;
+    call.entry = base::random_below(state.random, state.entries.size());
+    call.requested_at = state.now;
+    call.deadline = state.now + caller_time;
+    call.last_heard = state.now;
+    call.prompt = 1 + state.costs.usual_prompt *
+                          lognormal(state.random, prompt_spread, most);
+    call.answer = 1 + state.costs.usual_answer *
+                          lognormal(state.random, answer_spread, most);
+    call.hint = call.answer * lognormal(state.random, hint_spread, 2 * most);
+    ++state.outcome.requests;
+    state.callers[call.number] = call;
+    admit(state, call.number);
 }
 
 } // namespace
 
-void end_request(world& state, std::uint64_t number, final_word word)
+void end_request(simulation& state, std::uint64_t number, final_outcome result)
 {
     auto const node = state.callers.extract(number);
-    auto const& asked = node.mapped();
+    auto const& call = node.mapped();
     auto& outcome = state.outcome;
-    if (word == final_word::answered)
+    if (result == final_outcome::answered)
     {
         ++outcome.answered;
         outcome.in_time +=
-            asked.first_event && *asked.first_event - asked.asked <= caller_goal
+            call.first_event &&
+                    *call.first_event - call.requested_at <= caller_goal
                 ? 1
                 : 0;
         return;
     }
-    if (word == final_word::left)
+    if (result == final_outcome::left)
     {
         ++outcome.left;
         return;
     }
-    ++(word == final_word::cut ? outcome.cut : outcome.refused);
+    ++(result == final_outcome::interrupted ? outcome.interrupted
+                                            : outcome.refused);
 }
 
-void leave(world& state, caller_request& asked)
+void leave(simulation& state, caller_request& call)
 {
-    if (asked.engine)
+    if (call.engine)
     {
-        end_attempt(state, asked, request_outcome::cancelled);
+        end_attempt(state, call, request_outcome::cancelled);
     }
-    for (auto const attempt : asked.sent)
+    for (auto const attempt : call.sent)
     {
         if (is_at_work(state, attempt))
         {
@@ -126,64 +128,64 @@
             ++state.outcome.at_work_when_left;
         }
     }
-    end_request(state, asked.number, final_word::left);
+    end_request(state, call.number, final_outcome::left);
 }
 
-void note_word(world& state, engine_event const& event)
+void check_work_after_leaving(simulation& state, engine_event const& event)
 {
     auto const found = state.left.find(event.number);
-    auto const is_work = event.word == engine_word::began ||
-                         event.word == engine_word::wrote ||
-                         event.word == engine_word::answered;
+    auto const is_work = event.kind == engine_event_kind::began ||
+                         event.kind == engine_event_kind::wrote ||
+                         event.kind == engine_event_kind::answered;
     if (found == state.left.end() || !is_work ||
-        state.now < found->second + run_on_time)
+        state.now < found->second + max_work_after_leaving)
     {
         return;
     }
     state.left.erase(found);
-    ++state.outcome.ran_on;
+    ++state.outcome.still_at_work;
 }
 
-void fail(world& state, caller_request& asked)
+void fail(simulation& state, caller_request& call)
 {
-    if (asked.answer_begun)
+    if (call.answer_begun)
     {
-        end_request(state, asked.number, final_word::cut);
+        end_request(state, call.number, final_outcome::interrupted);
         return;
     }
-    // Only what has not run may be refused.
-    if (asked.ran == base::ran_state::no)
+    // Only a request that has not run may be refused.
+    if (call.ran == base::ran_state::no)
     {
-        refuse(state, asked);
+        refuse(state, call);
         return;
     }
-    end_request(state, asked.number, final_word::cut);
+    end_request(state, call.number, final_outcome::interrupted);
 }
 
-void plan_callers(world& state, base::time_point from)
+void schedule_callers(simulation& state, base::time_point from)
 {
-    if (from >= start + state.course.length)
+    if (from >= start + state.scenario.length)
     {
         return;
     }
-    auto const together = state.course.together;
-    auto const rate = state.course.load * full_rate(state.costs) *
-                      static_cast<double>(state.course.engines) /
-                      static_cast<double>(together);
+    auto const burst = state.scenario.burst;
+    auto const rate = state.scenario.load * full_rate(state.costs) *
+                      static_cast<double>(state.scenario.engines) /
+                      static_cast<double>(burst);
     auto const wait =
         std::chrono::duration<double>(-std::log(uniform(state.random)) / rate);
     auto const at = from + std::chrono::duration_cast<base::duration>(wait);
     state.events.emplace(
         at,
-        [&state, together, at]
+        [&state, burst, at]
         {
             auto const count =
-                1 + base::random_below(state.random, 2 * together - 1);
+                1 + base::random_below(state.random, 2 * burst - 1);
             for (std::uint64_t number = 0; number < count; ++number)
             {
-                ask(state);
+                start_call(state);
             }
-            plan_callers(state, at);
+            schedule_callers(state, at);
         });
 }
 
--- a/libs/direct/tests/played_callers.hpp
+++ b/libs/direct/tests/played_callers.hpp
@@ -5,24 +5,26 @@
 
 #include <cstdint>
 
-// Callers of a played fleet: they ask, and come back when they are refused.
+// Callers of a simulated fleet: they send requests, and send them again when
+// they are refused.
 namespace foxtailvale::direct
 {
 
-// The last word on the request.
-void end_request(world& state, std::uint64_t number, final_word word);
+// Records the final result of the request.
+void end_request(simulation& state, std::uint64_t number, final_outcome result);
 
-// Nothing more can be done for it: refused if it has not run, else cut.
-void fail(world& state, caller_request& asked);
+// Ends a request that has no attempt left: refused if it has not run, otherwise
+// interrupted.
+void fail(simulation& state, caller_request& call);
 
-// The caller has waited for long enough without anything.
-void leave(world& state, caller_request& asked);
+// The caller disconnects after its time-out.
+void leave(simulation& state, caller_request& call);
 
-// Checks what an engine does for a caller who may have left.
-void note_word(world& state, engine_event const& event);
+// Checks whether an engine still works for a caller that has disconnected.
+void check_work_after_leaving(simulation& state, engine_event const& event);
 
-// Callers come at random moments from then on.
-void plan_callers(world& state, base::time_point from);
+// Schedules callers at random times from then on.
+void schedule_callers(simulation& state, base::time_point from);
 
 } // namespace foxtailvale::direct
 
--- a/libs/direct/tests/played_engine.cpp
+++ b/libs/direct/tests/played_engine.cpp
@@ -14,34 +14,36 @@
 
 constexpr milliseconds load_time{300};
 
-// Tokens that one step reads at most.
-constexpr double step_reads = 2048;
+// Maximum number of prompt tokens per step.
+constexpr double max_reads_per_step = 2048;
 
-void stop_late(played_engine& engine, base::time_point now)
+void stop_expired(simulated_engine& engine, base::time_point now)
 {
-    auto const is_late = [&](played_request const& request)
+    auto const is_expired = [&](simulated_request const& request)
     {
         return request.deadline <= now;
     };
-    for (auto const& request : engine.line)
+    for (auto const& request : engine.queue)
     {
-        if (is_late(request))
+        if (is_expired(request))
         {
-            engine.said.push_back({request.number, engine_word::declined, 0});
+            engine.pending.push_back(
+                {request.number, engine_event_kind::declined, 0});
         }
     }
     for (auto const& request : engine.running)
     {
-        if (is_late(request))
+        if (is_expired(request))
         {
-            engine.said.push_back({request.number, engine_word::stopped, 0});
+            engine.pending.push_back(
+                {request.number, engine_event_kind::stopped, 0});
         }
     }
-    std::erase_if(engine.line, is_late);
-    std::erase_if(engine.running, is_late);
+    std::erase_if(engine.queue, is_expired);
+    std::erase_if(engine.running, is_expired);
 }
 
-void end_pass(played_engine& engine)
+void end_pass(simulated_engine& engine)
 {
     auto reads = engine.pass_reads;
     for (auto& request : engine.running)
@@ -50,7 +52,8 @@
         if (request.begun)
         {
             request.to_write -= engine.pass_steps;
-            engine.said.push_back({number, engine_word::wrote, engine.version});
+            engine.pending.push_back(
+                {number, engine_event_kind::wrote, engine.version});
             continue;
         }
         auto const read = std::min(reads, request.to_read);
@@ -60,26 +63,28 @@
         {
             request.begun = true;
             request.to_write -= 1;
-            engine.said.push_back({number, engine_word::began, engine.version});
+            engine.pending.push_back(
+                {number, engine_event_kind::began, engine.version});
         }
     }
     std::erase_if(
         engine.running,
-        [&](played_request const& request)
+        [&](simulated_request const& request)
         {
             auto const done = request.begun && request.to_write <= 0;
             if (done)
             {
-                engine.said.push_back(
-                    {request.number, engine_word::answered, engine.version});
+                engine.pending.push_back(
+                    {request.number, engine_event_kind::answered,
+                     engine.version});
             }
             return done;
         });
     engine.pass_ends.reset();
 }
 
-// Loads what was ordered once nothing runs.
-void load(played_engine& engine, base::time_point now)
+// Loads the ordered version once no request runs.
+void load(simulated_engine& engine, base::time_point now)
 {
     if (!engine.ordered || !engine.running.empty())
     {
@@ -96,24 +101,24 @@
     }
 }
 
-void fill_slots(played_engine& engine)
+void fill_slots(simulated_engine& engine)
 {
-    while (!engine.ordered && !engine.line.empty() &&
+    while (!engine.ordered && !engine.queue.empty() &&
            engine.running.size() < engine.costs.slots)
     {
-        auto const next = engine.line.front();
-        engine.line.pop_front();
+        auto const next = engine.queue.front();
+        engine.queue.pop_front();
         if (next.version != engine.version)
         {
-            engine.said.push_back(
-                {next.number, engine_word::misdirected, engine.version});
+            engine.pending.push_back(
+                {next.number, engine_event_kind::misdirected, engine.version});
             continue;
         }
         engine.running.push_back(next);
     }
 }
 
-void start_pass(played_engine& engine, base::time_point now)
+void start_pass(simulated_engine& engine, base::time_point now)
 {
     if (engine.running.empty())
     {
@@ -128,60 +133,61 @@
     }
     auto const& costs = engine.costs;
     engine.pass_steps = writers > 0 ? costs.steps_per_pass : 1;
-    engine.pass_reads = std::min(unread, engine.pass_steps * step_reads);
+    engine.pass_reads =
+        std::min(unread, engine.pass_steps * max_reads_per_step);
     auto const time =
         engine.pass_steps * (costs.step + costs.step_per_request * writers) +
         real_time(1000 * engine.pass_reads / costs.read_per_second);
     engine.pass_ends = now + std::chrono::duration_cast<base::duration>(
-                                 engine.slowness * time);
+                                 engine.slowdown * time);
 }
 
 } // namespace
 
-void arrive(played_engine& engine, played_request const& request)
+void arrive(simulated_engine& engine, simulated_request const& request)
 {
     if (!engine.ordered && request.version != engine.version)
     {
-        engine.said.push_back(
-            {request.number, engine_word::misdirected, engine.version});
+        engine.pending.push_back(
+            {request.number, engine_event_kind::misdirected, engine.version});
         return;
     }
-    if (engine.line.size() >= engine.longest_line)
+    if (engine.queue.size() >= engine.max_queue)
     {
-        engine.said.push_back(
-            {request.number, engine_word::declined, engine.version});
+        engine.pending.push_back(
+            {request.number, engine_event_kind::declined, engine.version});
         return;
     }
-    engine.line.push_back(request);
+    engine.queue.push_back(request);
 }
 
-void drop(played_engine& engine, std::uint64_t number)
+void cancel(simulated_engine& engine, std::uint64_t number)
 {
-    auto const is_it = [number](played_request const& request)
+    auto const is_it = [number](simulated_request const& request)
     {
         return request.number == number;
     };
-    std::erase_if(engine.line, is_it);
+    std::erase_if(engine.queue, is_it);
     std::erase_if(engine.running, is_it);
 }
 
-void accept_order(played_engine& engine, std::uint64_t version)
+void accept_order(simulated_engine& engine, std::uint64_t version)
 {
     engine.ordered = version;
     auto const first_unbegun = std::stable_partition(
         engine.running.begin(), engine.running.end(),
-        [](played_request const& request)
+        [](simulated_request const& request)
         {
             return request.begun;
         });
-    engine.line.insert(
-        engine.line.begin(), first_unbegun, engine.running.end());
+    engine.queue.insert(
+        engine.queue.begin(), first_unbegun, engine.running.end());
     engine.running.erase(first_unbegun, engine.running.end());
 }
 
-void work(played_engine& engine, base::time_point now)
+void work(simulated_engine& engine, base::time_point now)
 {
-    stop_late(engine, now);
+    stop_expired(engine, now);
     if (engine.pass_ends && *engine.pass_ends > now)
     {
         return;
--- a/libs/direct/tests/played_engine.hpp
+++ b/libs/direct/tests/played_engine.hpp
@@ -10,82 +10,82 @@
 #include <optional>
 #include <vector>
 
-// An engine that works by its published costs, in virtual time.
+// Engine that runs at its published costs, in virtual time.
 namespace foxtailvale::direct
 {
 
-// A request at the engine.
-struct played_request
+struct simulated_request
 {
     std::uint64_t number = 0;
-    // Moment at which the engine stops work on it.
+    // When the engine stops work on it.
     base::time_point deadline;
-    // Version that it must run on.
+    // Version on which it must run.
     std::uint64_t version = 0;
-    // Tokens of the prompt that are still to be read, and of the answer.
+    // Remaining tokens of the prompt and of the answer.
     double to_read = 0;
     double to_write = 0;
     bool begun = false;
 };
 
-enum class engine_word
+enum class engine_event_kind
 {
-    // Its first token.
+    // First token.
     began,
-    // More tokens.
+    // Further tokens.
     wrote,
     answered,
-    // Not run: no room, or its deadline passed in the line.
+    // Not run: the queue is full, or the deadline passed in the queue.
     declined,
     // Not run: the engine holds another version.
     misdirected,
-    // Stopped at the deadline; it had a slot.
+    // Stopped at the deadline while it had a slot.
     stopped,
 };
 
-// What the engine says of a request, and on which version it is.
+// What the engine sends about a request, and the engine's version.
 struct engine_event
 {
     std::uint64_t number = 0;
-    engine_word word = engine_word::answered;
+    engine_event_kind kind = engine_event_kind::answered;
     std::uint64_t version = 0;
 };
 
-struct played_engine
+struct simulated_engine
 {
     routing::engine_costs costs;
-    std::size_t longest_line = 32;
+    std::size_t max_queue = 32;
     std::uint64_t version = 1;
-    // Version of the order that is being carried out.
+    // Version of the order in progress.
     std::optional<std::uint64_t> ordered;
     std::optional<base::time_point> loaded;
-    std::deque<played_request> line;
-    // Has slots; those that have not begun are being read.
-    std::vector<played_request> running;
+    std::deque<simulated_request> queue;
+    // Requests with a slot; the prompts of those that have not begun are being
+    // processed.
+    std::vector<simulated_request> running;
     std::optional<base::time_point> pass_ends;
-    // Tokens that the pass under way reads.
+    // Prompt tokens that the current pass processes.
     double pass_reads = 0;
     double pass_steps = 0;
-    // Every pass takes that many times longer.
-    double slowness = 1;
-    // What it has said since this was last taken.
-    std::vector<engine_event> said;
+    // Factor on the duration of every pass.
+    double slowdown = 1;
+    // Events that have not been collected yet.
+    std::vector<engine_event> pending;
 };
 
-// Puts an arriving request into the line, or turns it away.
-void arrive(played_engine& engine, played_request const& request);
+// Adds an arriving request to the queue or rejects it.
+void arrive(simulated_engine& engine, simulated_request const& request);
 
-// The request's caller closed its connection.
-void drop(played_engine& engine, std::uint64_t number);
+// The caller of the request closed its connection.
+void cancel(simulated_engine& engine, std::uint64_t number);
 
-// Accepts the order to serve the version: nothing begins on the old one from
-// now on, and the new one is loaded once what writes has ended.
-void accept_order(played_engine& engine, std::uint64_t version);
+// Accepts the order to serve the version: no request starts on the old version
+// from now on, and the new one is loaded once the running requests have ended.
+void accept_order(simulated_engine& engine, std::uint64_t version);
 
-// Works until now; called at least every millisecond.
-void work(played_engine& engine, base::time_point now);
+// Runs until `now`; must be called at least every millisecond.
+void work(simulated_engine& engine, base::time_point now);
 
-// Requests that such an engine ends in a second when all slots are in use.
+// Requests per second that such an engine completes with all slots in use.
 double full_rate(routing::engine_costs const& costs);
 
 } // namespace foxtailvale::direct
--- a/libs/direct/tests/played_entries.cpp
+++ b/libs/direct/tests/played_entries.cpp
@@ -17,72 +17,74 @@
 
 using std::chrono::milliseconds;
 
-// As the entry does it.
+// Values of the entry process.
 constexpr milliseconds connect_limit{400};
 constexpr std::uint32_t most_attempts = 2;
 
 placement_query placement(
-    world const& state, played_entry const& entry, caller_request const& asked)
+    simulation const& state,
+    simulated_entry const& entry,
+    caller_request const& call)
 {
     constexpr double cold_per_second = 36;
     constexpr double cold_tolerance = 5;
-    placement_query ask;
-    ask.service = service_name;
-    ask.model = model_name;
-    ask.own_domain = entry.domain;
-    ask.tried = asked.tried;
-    ask.cold = {cold_per_second, cold_tolerance};
-    ask.entries = state.course.counted_entries.value_or(state.entries.size());
-    if (asked.returned)
+    placement_query query;
+    query.service = service_name;
+    query.model = model_name;
+    query.own_domain = entry.domain;
+    query.tried = call.tried;
+    query.cold = {cold_per_second, cold_tolerance};
+    query.entries =
+        state.scenario.counted_entries.value_or(state.entries.size());
+    if (call.is_resent)
     {
-        ask.depth = depth_for_expired_goal(state.costs.slots);
+        query.depth = depth_for_expired_goal(state.costs.slots);
     }
-    ask.all_entries = &state.entry_names;
-    ask.own_entry = entry.name;
-    ask.version = asked.answer_begun ? asked.version : 0;
-    ask.expected = expected_time(
-        state.costs, static_cast<std::uint64_t>(asked.prompt),
-        static_cast<std::uint64_t>(asked.hint));
-    return ask;
+    query.all_entries = &state.entry_names;
+    query.own_entry = entry.name;
+    query.version = call.answer_begun ? call.version : 0;
+    query.expected = expected_time(
+        state.costs, static_cast<std::uint64_t>(call.prompt),
+        static_cast<std::uint64_t>(call.hint));
+    return query;
 }
 
-line_place place_in_line(caller_request const& asked)
+queue_position position_of(caller_request const& call)
 {
-    return {asked.returned, asked.wait_until, asked.number};
+    return {call.is_resent, call.wait_until, call.number};
 }
 
-void leave_line(world& state, caller_request& asked)
+void leave_queue(simulation& state, caller_request& call)
 {
-    if (std::exchange(asked.in_line, false))
+    if (std::exchange(call.in_queue, false))
     {
-        state.entries[asked.entry].line.erase(place_in_line(asked));
+        state.entries[call.entry].queue.erase(position_of(call));
     }
 }
 
-void wait_for_room(world& state, caller_request& asked)
+void wait_for_room(simulation& state, caller_request& call)
 {
-    asked.in_line = true;
-    state.entries[asked.entry].line[place_in_line(asked)] = asked.number;
+    call.in_queue = true;
+    state.entries[call.entry].queue[position_of(call)] = call.number;
 }
 
-// The request's bytes reach the engine.
+// The request's bytes arrive at the engine.
 void reach_engine(
-    world& state, std::size_t engine, played_request const& request)
+    simulation& state, std::size_t engine, simulated_request const& request)
 {
     state.sent.at(request.number).arrived = state.now;
     arrive(state.engines[engine], request);
 }
 
-// What the engine is told that it has left, counted from the arrival of the
+// Remaining time that the engine is sent; it counts from the arrival of the
 // request's bytes.
-base::duration
-time_handed_on(caller_request const& asked, base::time_point written)
+base::duration time_left(caller_request const& call, base::time_point written)
 {
-    return asked.handed - written;
+    return call.sent_deadline - written;
 }
 
 void write_request(
-    world& state,
+    simulation& state,
     std::uint64_t number,
     std::uint64_t attempt,
     choice const& chosen)
@@ -92,22 +94,22 @@
     {
         return;
     }
-    auto& asked = found->second;
-    auto const left = time_handed_on(asked, state.now);
+    auto& call = found->second;
+    auto const left = time_left(call, state.now);
     if (left <= base::duration::zero())
     {
-        end_attempt(state, asked, request_outcome::cancelled);
-        after_failure(state, asked, base::ran_state::no);
+        end_attempt(state, call, request_outcome::cancelled);
+        after_failure(state, call, base::ran_state::no);
         return;
     }
-    asked.written = true;
-    auto const engine = *asked.engine;
-    played_request request;
+    call.written = true;
+    auto const engine = *call.engine;
+    simulated_request request;
     request.number = attempt;
     request.version = chosen.version;
-    request.to_read = asked.prompt;
-    request.to_write = asked.answer;
-    reach(
+    request.to_read = call.prompt;
+    request.to_write = call.answer;
+    deliver(
         state, engine,
         [&state, engine, request, left]
         {
@@ -118,222 +120,225 @@
 }
 
 void send(
-    world& state,
-    played_entry& entry,
-    caller_request& asked,
+    simulation& state,
+    simulated_entry& entry,
+    caller_request& call,
     choice const& chosen)
 {
-    leave_line(state, asked);
+    leave_queue(state, call);
     auto const& endpoint = *chosen.chosen;
     auto const number =
         static_cast<std::size_t>(std::stoul(endpoint.listed.id.substr(1)));
-    ++asked.sends;
-    asked.attempt = ++state.attempts;
-    asked.sent.push_back(asked.attempt);
-    asked.tried.insert(endpoint.listed.id);
-    asked.version = chosen.version;
-    asked.engine = number;
-    asked.written = false;
-    asked.decided = state.now;
-    asked.handed = endpoint_deadline(chosen, asked.deadline);
-    asked.last_byte = state.now;
-    asked.events = 0;
-    state.sent[asked.attempt] = {
-        asked.number,
-        asked.entry,
+    ++call.sends;
+    call.attempt = ++state.attempts;
+    call.sent.push_back(call.attempt);
+    call.tried.insert(endpoint.listed.id);
+    call.version = chosen.version;
+    call.engine = number;
+    call.written = false;
+    call.decided = state.now;
+    call.sent_deadline = endpoint_deadline(chosen, call.deadline);
+    call.last_byte = state.now;
+    call.events = 0;
+    state.sent[call.attempt] = {
+        call.number,
+        call.entry,
         number,
         work_at(
             endpoint,
-            state.course.counted_entries.value_or(state.entries.size()),
+            state.scenario.counted_entries.value_or(state.entries.size()),
             state.now),
-        endpoint.report ? rounded(state.now - endpoint.reported)
+        endpoint.report ? to_milliseconds(state.now - endpoint.reported)
                         : milliseconds(-1),
         state.now,
         {}};
-    note_request_begun(entry.book, endpoint.listed.id, state.now);
+    note_request_begun(entry.table, endpoint.listed.id, state.now);
     auto const late =
-        state.course.one_late_write_in > 0 &&
-        base::random_below(state.random, state.course.one_late_write_in) == 0;
+        state.scenario.one_late_write_in > 0 &&
+        base::random_below(state.random, state.scenario.one_late_write_in) == 0;
     constexpr int usual_write = 2;
     auto const wait =
         late ? random_time(
                    state.random, 0, static_cast<int>(connect_limit.count()))
              : random_time(state.random, 0, usual_write);
-    later(
+    schedule(
         state, wait,
-        [&state, chosen, caller = asked.number, attempt = asked.attempt]
+        [&state, chosen, caller = call.number, attempt = call.attempt]
         {
             write_request(state, caller, attempt, chosen);
         });
 }
 
-// Tries to place the request; false when it is to wait.
-bool place(world& state, caller_request& asked)
+// Tries to place the request. Returns false if it has to wait.
+bool place(simulation& state, caller_request& call)
 {
-    auto& entry = state.entries[asked.entry];
+    auto& entry = state.entries[call.entry];
     auto const chosen = choose(
-        entry.book, placement(state, entry, asked), state.now, entry.random);
+        entry.table, placement(state, entry, call), state.now, entry.random);
     if (chosen.chosen != nullptr)
     {
-        send(state, entry, asked, chosen);
+        send(state, entry, call, chosen);
         return true;
     }
     if (chosen.why != no_endpoint_reason::none_listed)
     {
         return false;
     }
-    leave_line(state, asked);
-    fail(state, asked);
+    leave_queue(state, call);
+    fail(state, call);
     return true;
 }
 
-// When the entry gives the attempt up.
+// Returns when the entry abandons the current attempt.
 std::optional<base::time_point>
-attempt_limit(world const& state, caller_request const& asked)
+current_deadline(simulation const& state, caller_request const& call)
 {
-    if (!asked.written)
+    if (!call.written)
     {
-        return asked.decided + connect_limit;
+        return call.decided + connect_limit;
     }
-    auto const& book = state.entries[asked.entry].book;
-    auto const& known = book.endpoints.at(id_of_engine(*asked.engine));
+    auto const& table = state.entries[call.entry].table;
+    auto const& known = table.endpoints.at(id_of_engine(*call.engine));
     return attempt_deadline(
         {.repeats = routing::repetition::resumable,
          .streams = true,
          .goal = caller_goal,
          .gap_goal = caller_gap_goal,
-         .runs = asked.runs,
+         .runs = call.runs,
          .most_attempts = most_attempts,
-         .events = asked.events,
-         .begun = asked.decided,
-         .last_byte = asked.last_byte,
-         .caller_heard = asked.last_heard,
+         .events = call.events,
+         .begun = call.decided,
+         .last_byte = call.last_byte,
+         .caller_heard = call.last_heard,
          .lost = is_lost(known, state.now)});
 }
 
-void watch_time(world& state, caller_request& asked)
+void check_timeout(simulation& state, caller_request& call)
 {
-    if (state.course.callers_leave &&
-        state.now >= asked.last_heard + caller_patience)
+    if (state.scenario.callers_leave &&
+        state.now >= call.last_heard + caller_patience)
     {
-        leave_line(state, asked);
-        leave(state, asked);
+        leave_queue(state, call);
+        leave(state, call);
         return;
     }
-    if (asked.in_line && state.now >= asked.wait_until)
+    if (call.in_queue && state.now >= call.wait_until)
     {
-        leave_line(state, asked);
-        fail(state, asked);
+        leave_queue(state, call);
+        fail(state, call);
         return;
     }
-    if (!asked.engine)
+    if (!call.engine)
     {
         return;
     }
     auto const ran =
-        asked.written ? base::ran_state::unknown : base::ran_state::no;
-    if (state.now >= asked.deadline)
+        call.written ? base::ran_state::unknown : base::ran_state::no;
+    if (state.now >= call.deadline)
     {
-        auto const silent = state.now - asked.last_byte > stall_time;
+        auto const stalled = state.now - call.last_byte > stall_time;
         end_attempt(
-            state, asked, silent ? request_outcome::faulty : request_outcome::cancelled);
-        after_failure(state, asked, ran);
+            state, call,
+            stalled ? request_outcome::faulty : request_outcome::cancelled);
+        after_failure(state, call, ran);
         return;
     }
-    auto const limit = attempt_limit(state, asked);
+    auto const limit = current_deadline(state, call);
     if (limit && state.now >= *limit)
     {
         end_attempt(
-            state, asked,
-            asked.written ? request_outcome::faulty : request_outcome::not_connected);
-        after_failure(state, asked, ran);
+            state, call,
+            call.written ? request_outcome::faulty
+                         : request_outcome::not_connected);
+        after_failure(state, call, ran);
         return;
     }
     auto const begins_by = must_begin_by(
-        state.entries[asked.entry].book, model_name, asked.version,
-        asked.handed);
-    if (asked.events == 0 && begins_by && state.now >= *begins_by)
+        state.entries[call.entry].table, model_name, call.version,
+        call.sent_deadline);
+    if (call.events == 0 && begins_by && state.now >= *begins_by)
     {
-        end_attempt(state, asked, request_outcome::cancelled);
-        after_failure(state, asked, ran);
+        end_attempt(state, call, request_outcome::cancelled);
+        after_failure(state, call, ran);
     }
 }
 
 } // namespace
 
-void end_attempt(world& state, caller_request& asked, request_outcome how)
+void end_attempt(
+    simulation& state, caller_request& call, request_outcome outcome)
 {
-    auto& entry = state.entries[asked.entry];
-    auto const engine = *std::exchange(asked.engine, std::nullopt);
-    note_request_ended(entry.book, id_of_engine(engine), how, state.now);
-    auto const attempt = std::exchange(asked.attempt, 0);
-    auto const closes = how == request_outcome::faulty || how == request_outcome::cancelled;
-    if (closes && !state.course.ignores_close)
+    auto& entry = state.entries[call.entry];
+    auto const engine = *std::exchange(call.engine, std::nullopt);
+    note_request_ended(entry.table, id_of_engine(engine), outcome, state.now);
+    auto const attempt = std::exchange(call.attempt, 0);
+    auto const closes = outcome == request_outcome::faulty ||
+                        outcome == request_outcome::cancelled;
+    if (closes && !state.scenario.ignores_close)
     {
-        reach(
+        deliver(
             state, engine,
             [&state, engine, attempt]
             {
-                drop(state.engines[engine], attempt);
+                cancel(state.engines[engine], attempt);
             });
     }
     serve_waiting(state, entry);
 }
 
-void after_failure(world& state, caller_request& asked, base::ran_state ran)
+void after_failure(simulation& state, caller_request& call, base::ran_state ran)
 {
     constexpr retry_bound bound{0.2, std::chrono::seconds(10), 104};
     constexpr milliseconds more_wait{100};
     if (ran != base::ran_state::no)
     {
-        ++asked.runs;
-        asked.ran = ran;
+        ++call.runs;
+        call.ran = ran;
     }
-    retry_query const ask{
+    retry_query const query{
         .repeats = routing::repetition::resumable,
         .ran = ran,
-        .runs = asked.runs,
+        .runs = call.runs,
         .most_attempts = most_attempts,
-        .sends = asked.sends,
-        .answer_begun = asked.answer_begun};
-    auto& entry = state.entries[asked.entry];
-    if (asked.deadline <= state.now || !is_retry_allowed(ask) ||
-        !spend_retry(entry.repeats, bound, state.entries.size(), state.now))
+        .sends = call.sends,
+        .answer_begun = call.answer_begun};
+    auto& entry = state.entries[call.entry];
+    if (call.deadline <= state.now || !is_retry_allowed(query) ||
+        !spend_retry(entry.retries, bound, state.entries.size(), state.now))
     {
-        fail(state, asked);
+        fail(state, call);
         return;
     }
-    asked.wait_until = std::min(
-        asked.deadline, std::max(asked.wait_until, state.now + more_wait));
-    if (!place(state, asked))
+    call.wait_until = std::min(
+        call.deadline, std::max(call.wait_until, state.now + more_wait));
+    if (!place(state, call))
     {
-        wait_for_room(state, asked);
+        wait_for_room(state, call);
     }
 }
 
-void admit(world& state, std::uint64_t number)
+void admit(simulation& state, std::uint64_t number)
 {
-    auto& asked = state.callers.at(number);
-    auto& entry = state.entries[asked.entry];
-    asked.arrived = state.now;
-    asked.wait_until = std::min(
-        state.now + max_wait(caller_goal, entry.first_answer),
-        asked.deadline);
-    note_request(entry.repeats, state.now);
-    auto const stands_back = asked.returned && !entry.line.empty();
-    if (stands_back || !place(state, asked))
+    auto& call = state.callers.at(number);
+    auto& entry = state.entries[call.entry];
+    call.arrived = state.now;
+    call.wait_until = std::min(
+        state.now + max_wait(caller_goal, entry.first_answer), call.deadline);
+    note_request(entry.retries, state.now);
+    auto const yields = call.is_resent && !entry.queue.empty();
+    if (yields || !place(state, call))
     {
-        wait_for_room(state, asked);
+        wait_for_room(state, call);
     }
 }
 
-void serve_waiting(world& state, played_entry& entry)
+void serve_waiting(simulation& state, simulated_entry& entry)
 {
-    auto next = line_place{};
+    auto next = queue_position{};
     while (true)
     {
-        auto const found = entry.line.upper_bound(next);
-        if (found == entry.line.end())
+        auto const found = entry.queue.upper_bound(next);
+        if (found == entry.queue.end())
         {
             return;
         }
@@ -345,12 +350,12 @@
     }
 }
 
-void watch_times(world& state)
+void check_timeouts(simulation& state)
 {
     std::vector<std::uint64_t> numbers;
-    for (auto const& [number, asked] : state.callers)
+    for (auto const& [number, call] : state.callers)
     {
-        if (asked.in_line || asked.engine)
+        if (call.in_queue || call.engine)
         {
             numbers.push_back(number);
         }
@@ -360,7 +365,7 @@
         auto const found = state.callers.find(number);
         if (found != state.callers.end())
         {
-            watch_time(state, found->second);
+            check_timeout(state, found->second);
         }
     }
 }
--- a/libs/direct/tests/played_entries.hpp
+++ b/libs/direct/tests/played_entries.hpp
@@ -7,24 +7,26 @@
 
 #include <cstdint>
 
-// Entries of a played fleet: they place requests as the product does.
+// Entries of a simulated fleet; they place requests with the production code.
 namespace foxtailvale::direct
 {
 
-// The attempt under way is over, in this way.
-void end_attempt(world& state, caller_request& asked, request_outcome how);
+// Ends the current attempt with this result.
+void end_attempt(
+    simulation& state, caller_request& call, request_outcome outcome);
 
-// What becomes of a request whose attempt failed: another one, or the end.
-void after_failure(world& state, caller_request& asked, base::ran_state ran);
+// Retries a request whose attempt failed, or ends it.
+void after_failure(
+    simulation& state, caller_request& call, base::ran_state ran);
 
-// A request arrives.
-void admit(world& state, std::uint64_t number);
+// Handles an arriving request.
+void admit(simulation& state, std::uint64_t number);
 
-// Places what waits, as far as there is room.
-void serve_waiting(world& state, played_entry& entry);
+// Places waiting requests as far as there is room.
+void serve_waiting(simulation& state, simulated_entry& entry);
 
-// Gives up what takes too long.
-void watch_times(world& state);
+// Ends attempts and waits that have timed out.
+void check_timeouts(simulation& state);
 
 } // namespace foxtailvale::direct
 
--- a/libs/direct/tests/played_fleet.cpp
+++ b/libs/direct/tests/played_fleet.cpp
@@ -26,12 +26,12 @@
     return "e" + std::to_string(number);
 }
 
-milliseconds rounded(base::duration time)
+milliseconds to_milliseconds(base::duration time)
 {
     return std::chrono::duration_cast<milliseconds>(time);
 }
 
-void later(world& state, milliseconds wait, std::function<void()> event)
+void schedule(simulation& state, milliseconds wait, std::function<void()> event)
 {
     state.events.emplace(state.now + wait, std::move(event));
 }
@@ -57,30 +57,30 @@
     return std::min(most, std::exp(spread * normal - spread * spread / 2));
 }
 
-bool is_hit(
-    std::vector<engine_trouble> const& troubles,
+bool is_affected(
+    std::vector<engine_fault> const& faults,
     std::size_t engine,
     base::time_point now)
 {
     return std::ranges::any_of(
-        troubles,
-        [&](engine_trouble const& trouble)
+        faults,
+        [&](engine_fault const& fault)
         {
-            return trouble.engines.contains(engine) &&
-                   now >= start + trouble.time.from &&
-                   now < start + trouble.time.to;
+            return fault.engines.contains(engine) &&
+                   now >= start + fault.time.from &&
+                   now < start + fault.time.to;
         });
 }
 
-void reach(world& state, std::size_t engine, std::function<void()> event)
+void deliver(simulation& state, std::size_t engine, std::function<void()> event)
 {
-    later(
+    schedule(
         state, wire_time,
         [&state, engine, event = std::move(event)]
         {
-            if (is_hit(state.course.engine_pauses, engine, state.now))
+            if (is_affected(state.scenario.engine_pauses, engine, state.now))
             {
-                reach(state, engine, event);
+                deliver(state, engine, event);
                 return;
             }
             event();
--- a/libs/direct/tests/played_fleet.hpp
+++ b/libs/direct/tests/played_fleet.hpp
@@ -20,7 +20,7 @@
 #include <tuple>
 #include <vector>
 
-// What the entries, engines and agents of a played fleet are made of.
+// State of the entries, engines and agents of a simulated fleet.
 namespace foxtailvale::direct
 {
 
@@ -29,98 +29,98 @@
 inline constexpr char const* model_name = "m";
 inline constexpr char const* service_name = "engine";
 
-// As the entry and the agent do it.
+// Values of the entry and agent processes.
 inline constexpr std::chrono::milliseconds subscription_interval{1000};
 inline constexpr std::chrono::milliseconds report_interval{100};
 
-// What callers bring.
+// Latency goals of the callers.
 inline constexpr std::chrono::milliseconds caller_goal{400};
 inline constexpr std::chrono::milliseconds caller_gap_goal{300};
 
-// Silence after which callers of streams leave.
+// Callers of streams disconnect after this time without an event.
 inline constexpr std::chrono::milliseconds caller_patience{2400};
 
-enum class final_word
+enum class final_outcome
 {
     answered,
-    cut,
+    interrupted,
     refused,
     left,
 };
 
-// A request of a caller, from its arrival at an entry to the last word on it.
+// A caller's request, from its arrival at an entry to its final result.
 struct caller_request
 {
     std::uint64_t number = 0;
     std::size_t entry = 0;
-    // The first attempt's.
-    base::time_point asked;
+    // Kept when the caller sends the request again.
+    base::time_point requested_at;
     base::time_point deadline;
     double prompt = 0;
     double answer = 0;
     double hint = 0;
-    bool came_back = false;
+    bool sent_again = false;
 
-    // This attempt's.
+    // Reset when the caller sends the request again.
     base::time_point arrived;
     base::time_point wait_until;
-    bool returned = false;
-    bool in_line = false;
+    bool is_resent = false;
+    bool in_queue = false;
     std::set<std::string> tried;
     std::uint32_t sends = 0;
     std::uint32_t runs = 0;
     base::ran_state ran = base::ran_state::no;
     bool answer_begun = false;
     std::uint64_t version = 0;
-    // Where it is now, as the entry sees it.
+    // Engine of the current attempt, as the entry sees it.
     std::optional<std::size_t> engine;
     std::uint64_t attempt = 0;
     bool written = false;
     base::time_point decided;
-    base::time_point handed;
+    base::time_point sent_deadline;
     base::time_point last_byte;
     std::uint32_t events = 0;
     std::optional<base::time_point> first_event;
-    // When it asked, or got its last event.
+    // When the caller sent the request or got the last event.
     base::time_point last_heard;
-    // Attempts of its own that went to engines.
+    // Numbers of the attempts that were sent to engines.
     std::vector<std::uint64_t> sent;
 };
 
-// Order in an entry's line: those that came back last, then by time.
-using line_place = std::tuple<bool, base::time_point, std::uint64_t>;
+// Order of an entry's queue: requests sent again come last, then by time.
+using queue_position = std::tuple<bool, base::time_point, std::uint64_t>;
 
-struct played_entry
+struct simulated_entry
 {
     std::string name;
     std::string domain;
-    endpoint_table book;
+    endpoint_table table;
     base::random_state random;
     request::measured_time first_answer;
-    retry_window repeats;
-    std::map<line_place, std::uint64_t> line;
+    retry_window retries;
+    std::map<queue_position, std::uint64_t> queue;
 };
 
-struct played_agent
+struct simulated_agent
 {
     std::vector<weights::named_target> targets;
-    // When chunks of a version begin to come, and when they are all there.
-    std::map<std::uint64_t, stretch> chunks;
+    // When the chunks of a version start to arrive and when they are complete.
+    std::map<std::uint64_t, time_span> chunks;
     std::optional<std::chrono::milliseconds> arrival;
-    // As the engine was when it was last asked.
-    load_report seen;
+    // State of the engine at the last poll.
+    load_report last_state;
     bool busy = false;
     bool switching = false;
     bool verifying = false;
     bool ordering = false;
     std::uint64_t staged = 0;
-    base::time_point order_again;
+    base::time_point next_order;
     std::uint64_t rounds = 0;
-    // When what was told so far is through the link.
-    base::time_point link_clear;
+    // When the reports sent so far have passed the link.
+    base::time_point link_free_at;
 };
 
-// An attempt at an engine, for the check.
+// An attempt at an engine, recorded for the checks.
 struct sent_request
 {
     std::uint64_t caller = 0;
@@ -132,22 +132,22 @@
     base::time_point arrived;
 };
 
-struct world
+struct simulation
 {
-    fleet_course const& course;
+    fleet_scenario const& scenario;
     routing::engine_costs costs;
     base::random_state random;
-    std::vector<played_entry> entries;
-    std::vector<played_agent> agents;
-    std::vector<played_engine> engines;
+    std::vector<simulated_entry> entries;
+    std::vector<simulated_agent> agents;
+    std::vector<simulated_engine> engines;
     std::set<std::string> entry_names;
     std::map<std::uint64_t, caller_request> callers;
     std::map<std::uint64_t, sent_request> sent;
-    // When the callers of these attempts left.
+    // When the callers of these attempts disconnected.
     std::map<std::uint64_t, base::time_point> left;
-    // Engines that stand still, and since when.
+    // Paused engines, and since when.
     std::map<std::size_t, base::time_point> paused;
-    // What happens later, in order.
+    // Scheduled events by time.
     std::multimap<base::time_point, std::function<void()>> events;
     std::uint64_t numbers = 0;
     std::uint64_t attempts = 0;
@@ -161,30 +161,34 @@
 
 std::string id_of_engine(std::size_t number);
 
-std::chrono::milliseconds rounded(base::duration time);
+std::chrono::milliseconds to_milliseconds(base::duration time);
 
-// Lets it happen after the wait.
-void later(
-    world& state, std::chrono::milliseconds wait, std::function<void()> event);
+// Schedules the event after the delay.
+void schedule(
+    simulation& state,
+    std::chrono::milliseconds wait,
+    std::function<void()> event);
 
-// Between the two, in milliseconds.
+// Returns a random time between the two, in milliseconds.
 std::chrono::milliseconds
 random_time(base::random_state& random, int from, int to);
 
-// Between 0 and 1, never either.
+// Returns a random number between 0 and 1, excluding both.
 double uniform(base::random_state& random);
 
-// Mean 1 before the cut at `most`.
+// Returns a log-normal random number with mean 1 before it is capped at `most`.
 double lognormal(base::random_state& random, double spread, double most);
 
-// Whether one of the troubles is at the engine now.
-bool is_hit(
-    std::vector<engine_trouble> const& troubles,
+// Whether one of the faults affects the engine now.
+bool is_affected(
+    std::vector<engine_fault> const& faults,
     std::size_t engine,
     base::time_point now);
 
-// Something that the engine reads when it does not stand still.
-void reach(world& state, std::size_t engine, std::function<void()> event);
+// Schedules an event that reaches the engine after wire_time, or when its pause
+// has ended.
+void deliver(
+    simulation& state, std::size_t engine, std::function<void()> event);
 
 } // namespace foxtailvale::direct
 
--- a/libs/direct/tests/process_pause_tests.cpp
+++ b/libs/direct/tests/process_pause_tests.cpp
@@ -35,15 +35,16 @@
     EXPECT_EQ(earliest_arrival(state, now), now);
 }
 
-// A version is named while an entry is frozen. When it goes on, it reads the
-// news before its own timers run.
+// A version is announced while an entry is frozen. When the entry resumes, it
+// reads the announcement before its own timers run.
 TEST(process_pause, news_read_before_the_first_tick_may_be_as_old_as_the_pause)
 {
     auto const state = running_until(seconds(2));
     EXPECT_EQ(earliest_arrival(state, at(seconds(8))), at(seconds(2)));
 }
 
-// The same, but the timers run first and the news is read a moment later.
+// The same, but the timers run first and the announcement is read a moment
+// later.
 TEST(process_pause, news_read_after_the_first_tick_may_be_as_old_as_the_pause)
 {
     auto state = running_until(seconds(2));
--- a/libs/direct/tests/repeat_tests.cpp
+++ b/libs/direct/tests/repeat_tests.cpp
@@ -14,13 +14,13 @@
 
 retry_query failed_once(repetition repeats, ran_state ran)
 {
-    retry_query ask;
-    ask.repeats = repeats;
-    ask.ran = ran;
-    ask.runs = ran == ran_state::no ? 0 : 1;
-    ask.most_attempts = 2;
-    ask.sends = 1;
-    return ask;
+    retry_query query;
+    query.repeats = repeats;
+    query.ran = ran;
+    query.runs = ran == ran_state::no ? 0 : 1;
+    query.most_attempts = 2;
+    query.sends = 1;
+    return query;
 }
 
 } // namespace
@@ -30,8 +30,8 @@
     EXPECT_EQ(judge_run({}), ran_state::no);
 }
 
-// A booking is sent, the connection is reset, and the booking ran: sent again
-// it runs twice, and two vans go out.
+// Failure: a booking is sent, the connection is reset, and the booking ran.
+// Sent again, it runs twice, and two vans are dispatched.
 TEST(judge_run, silence_after_the_first_byte_is_unknown)
 {
     EXPECT_EQ(judge_run({.written = true}), ran_state::unknown);
@@ -73,46 +73,46 @@
 
 TEST(may_repeat, what_may_run_once_is_repeated_only_when_it_did_not_run)
 {
-    EXPECT_TRUE(
-        is_retry_allowed(failed_once(repetition::non_idempotent, ran_state::no)));
+    EXPECT_TRUE(is_retry_allowed(
+        failed_once(repetition::non_idempotent, ran_state::no)));
     EXPECT_FALSE(is_retry_allowed(
         failed_once(repetition::non_idempotent, ran_state::unknown)));
-    EXPECT_FALSE(
-        is_retry_allowed(failed_once(repetition::non_idempotent, ran_state::yes)));
+    EXPECT_FALSE(is_retry_allowed(
+        failed_once(repetition::non_idempotent, ran_state::yes)));
 }
 
 TEST(may_repeat, what_may_run_again_is_repeated_up_to_its_attempts)
 {
-    auto ask = failed_once(repetition::idempotent, ran_state::unknown);
-    EXPECT_TRUE(is_retry_allowed(ask));
-    ask.runs = 2;
-    EXPECT_FALSE(is_retry_allowed(ask));
+    auto query = failed_once(repetition::idempotent, ran_state::unknown);
+    EXPECT_TRUE(is_retry_allowed(query));
+    query.runs = 2;
+    EXPECT_FALSE(is_retry_allowed(query));
 }
 
 TEST(may_repeat, only_a_stream_that_resumes_goes_on_after_its_first_event)
 {
-    auto ask = failed_once(repetition::resumable, ran_state::yes);
-    ask.answer_begun = true;
-    EXPECT_TRUE(is_retry_allowed(ask));
-    ask.repeats = repetition::idempotent;
-    EXPECT_FALSE(is_retry_allowed(ask));
+    auto query = failed_once(repetition::resumable, ran_state::yes);
+    query.answer_begun = true;
+    EXPECT_TRUE(is_retry_allowed(query));
+    query.repeats = repetition::idempotent;
+    EXPECT_FALSE(is_retry_allowed(query));
 }
 
-// Random courses of a request that may run once: whatever order of facts
-// comes, it is never sent again after an attempt that may have run.
+// Random sequences of results for a request that may run only once: it is never
+// sent again after an attempt that may have run.
 TEST(may_repeat, no_course_sends_a_non_idempotent_request_after_a_run)
 {
     base::random_state random{11};
-    for (auto course = 0; course < 20000; ++course)
+    for (auto scenario = 0; scenario < 20000; ++scenario)
     {
         auto may_have_run = false;
-        retry_query ask;
-        ask.most_attempts =
+        retry_query query;
+        query.most_attempts =
             1 + static_cast<std::uint32_t>(base::random_below(random, 4));
         while (true)
         {
-            ASSERT_FALSE(may_have_run) << "seed 11, course " << course;
-            ++ask.sends;
+            ASSERT_FALSE(may_have_run) << "seed 11, scenario " << scenario;
+            ++query.sends;
             attempt_facts facts;
             facts.written = base::random_below(random, 4) != 0;
             facts.head_seen =
@@ -121,19 +121,19 @@
                 facts.head_seen && base::random_below(random, 2) == 0;
             facts.sealed = base::random_below(random, 2) == 0;
             facts.whole = base::random_below(random, 2) == 0;
-            ask.ran = judge_run(facts);
+            query.ran = judge_run(facts);
             may_have_run = facts.written && !facts.says_not_run;
-            ask.runs += may_have_run ? 1 : 0;
-            if (!is_retry_allowed(ask))
+            query.runs += may_have_run ? 1 : 0;
+            if (!is_retry_allowed(query))
             {
                 break;
             }
         }
-        EXPECT_LE(ask.sends, most_sends);
+        EXPECT_LE(query.sends, max_sends);
     }
 }
 
-// What the caller is told: "not run" only if no attempt may have run.
+// The caller is told "not run" only if no attempt may have run.
 TEST(final_error, promises_not_run_only_then)
 {
     for (auto const time_is_up : {false, true})
--- a/libs/direct/tests/report_sources_tests.cpp
+++ b/libs/direct/tests/report_sources_tests.cpp
@@ -24,7 +24,7 @@
     return "d" + std::to_string(number);
 }
 
-// Entries of so many failure domains, spread evenly, by domain.
+// Returns this many entries, spread evenly over the failure domains, by domain.
 std::map<std::string, std::set<std::string>>
 fleet_of(std::size_t entries, std::size_t domains)
 {
@@ -45,7 +45,7 @@
 
 using asked_times = std::map<std::string, std::size_t>;
 
-// By entry, how many entries of other domains ask it.
+// Returns for each entry the number of entries of other domains that ask it.
 asked_times askers_of(std::map<std::string, std::set<std::string>> const& fleet)
 {
     asked_times askers;
@@ -73,8 +73,7 @@
 
 } // namespace
 
-// Guards against messages that an entry sends and receives growing with the
-// fleet.
+// Failure: the messages that an entry sends and receives grow with the fleet.
 TEST(report_sources, work_of_an_entry_does_not_grow_with_the_fleet)
 {
     constexpr std::size_t domains = 5;
@@ -89,7 +88,8 @@
             all += count;
         }
         EXPECT_EQ(all, entries * (domains - 1) * sources_per_domain);
-        // Each asks eight; nobody is asked by more than three times that.
+        // Each entry asks eight; none is asked by more than three times as
+        // many.
         EXPECT_LE(most, 3 * (domains - 1) * sources_per_domain)
             << entries << " entries";
     }
@@ -112,7 +112,8 @@
     }
 }
 
-// Guards against a domain unheard because one of the entries asked is lost.
+// Failure: no reports of a domain arrive because one of the entries asked is
+// lost.
 TEST(report_sources, a_lost_entry_is_replaced_and_the_other_goes_on)
 {
     report_sources state{"own", {}};
@@ -136,7 +137,7 @@
     EXPECT_EQ(asked.size(), sources_per_domain);
 }
 
-// Guards against a domain whose entries are all lost while its engines live.
+// Failure: all entries of a domain are lost while its engines are alive.
 TEST(report_sources, agents_are_asked_when_no_entry_passes_reports_on)
 {
     report_sources state{"own", {}};
@@ -150,7 +151,7 @@
     EXPECT_FALSE(must_poll_agents(state, "d1", start + milliseconds(2100)));
 }
 
-// Guards against entries that were restarted being left alone for good.
+// Failure: restarted entries are never asked again.
 TEST(report_sources, one_that_fell_silent_is_asked_again_after_a_rest)
 {
     report_sources state{"own", {}};
--- a/libs/direct/tests/shares_tests.cpp
+++ b/libs/direct/tests/shares_tests.cpp
@@ -40,7 +40,8 @@
     return made;
 }
 
-// Most sends in any second when this many entries send whenever they may.
+// Returns the maximum number of requests in any second if this many entries
+// send whenever they may.
 std::size_t most_in_a_second(std::size_t entries, cold_bound const& bound)
 {
     std::set<std::string> names;
@@ -51,7 +52,7 @@
     std::map<std::string, std::deque<base::time_point>> recent;
     for (auto const& name : names)
     {
-        if (has_part(names, {}, name, "endpoint", bound))
+        if (has_share(names, {}, name, "endpoint", bound))
         {
             recent[name] = {};
         }
@@ -66,7 +67,7 @@
             {
                 own.pop_front();
             }
-            if (may_send_within_part(own, bound, entries, now))
+            if (may_send_within_share(own, bound, entries, now))
             {
                 own.push_back(now);
                 all.push_back(now);
@@ -87,10 +88,10 @@
     std::size_t most = 0;
 };
 
-// Requests that a cold endpoint gets in a second from so many entries that
-// take themselves for one of `assumed`, the least and the most over many
-// endpoints.
-extremes sent_by_strangers(
+// Returns the minimum and maximum, over many endpoints, of the requests that a
+// cold endpoint gets in a second from this many entries if each of them assumes
+// that there are `assumed` entries.
+extremes sent_by_newcomers(
     std::size_t entries, std::size_t assumed, cold_bound const& bound)
 {
     extremes found{.least = entries, .most = 0};
@@ -104,7 +105,7 @@
                              std::to_string(entry % 256);
             std::deque<base::time_point> recent;
             while (has_estimated_share(own, endpoint, bound, assumed) &&
-                   may_send_within_part(recent, bound, assumed, start))
+                   may_send_within_share(recent, bound, assumed, start))
             {
                 recent.push_back(start);
                 ++sent;
@@ -118,8 +119,9 @@
 
 } // namespace
 
-// An endpoint turns cold just as a burst comes, and all entries send to it as
-// fast as they may. More than it bears in one second and it falls over.
+// Failure: an endpoint turns cold during a burst, and all entries send to it as
+// fast as they may. The endpoint fails if it gets more than it can handle in a
+// second.
 TEST(cold_share, all_entries_together_stay_below_the_bound)
 {
     for (auto const entries : {1UL, 3UL, 8UL, 11UL, 34UL, 45UL, 200UL})
@@ -131,64 +133,65 @@
     }
 }
 
-// Guards against entries that start together, know few of the others yet and
-// send to the same cold endpoint what one of few may.
+// Failure: entries that start together know few of the others yet and send to
+// the same cold endpoint as if there were only those.
 TEST(cold_share, entries_that_have_just_started_stay_below_the_bound)
 {
     cold_bound const bound{33, 5};
     for (auto const entries : {8UL, 45UL, 148UL, 410UL})
     {
-        entry_count const told_of_few{.most_seen = 5};
-        auto const assumed = assumed_entries(told_of_few, entries);
-        EXPECT_LE(sent_by_strangers(entries, assumed, bound).most, 38U)
+        entry_count const few_known{.max_seen = 5};
+        auto const assumed = assumed_entries(few_known, entries);
+        EXPECT_LE(sent_by_newcomers(entries, assumed, bound).most, 38U)
             << entries << " entries";
-        EXPECT_GE(sent_by_strangers(entries, assumed, bound).most, 5U)
+        EXPECT_GE(sent_by_newcomers(entries, assumed, bound).most, 5U)
             << entries << " entries";
-        // Told of nobody, for any size of fleet.
+        // No agent has reported any entry, at any fleet size.
         auto const any = assumed_entries(entry_count{}, 1);
-        EXPECT_LE(sent_by_strangers(entries, any, bound).most, 38U)
+        EXPECT_LE(sent_by_newcomers(entries, any, bound).most, 38U)
             << entries << " entries";
     }
-    EXPECT_GE(sent_by_strangers(45, 68, bound).least, 5U);
-    // Few engines, or not all listed yet: those that asked a watcher count.
-    entry_count const hinted{.most_seen = 5, .hinted = 148};
+    EXPECT_GE(sent_by_newcomers(45, 68, bound).least, 5U);
+    // Few engines, or not all of them listed yet: entries that asked a watcher
+    // count.
+    entry_count const hinted{.max_seen = 5, .hinted = 148};
     EXPECT_LE(
-        sent_by_strangers(148, assumed_entries(hinted, 1), bound).most, 38U);
+        sent_by_newcomers(148, assumed_entries(hinted, 1), bound).most, 38U);
 }
 
-// Guards against entries that take themselves for one of few because no agent's
-// report has reached them, however long they run.
+// Failure: entries assume that there are few of them because no agent's report
+// has reached them, however long they run.
 TEST(cold_share, entries_that_heard_no_agent_stay_below_the_bound)
 {
     EXPECT_TRUE(is_newcomer(entry_count{}, start + seconds(600)));
-    entry_count told;
-    note_entries(told, 45, 9, 5, start);
-    EXPECT_TRUE(is_newcomer(told, start + seconds(1)));
-    EXPECT_FALSE(is_newcomer(told, start + seconds(3)));
+    entry_count informed;
+    note_entries(informed, 45, 9, 5, start);
+    EXPECT_TRUE(is_newcomer(informed, start + seconds(1)));
+    EXPECT_FALSE(is_newcomer(informed, start + seconds(3)));
     for (auto const entries : {8UL, 45UL, 148UL, 410UL})
     {
         std::size_t sent = 0;
         for (std::size_t entry = 0; entry < entries; ++entry)
         {
-            placement_query ask;
-            ask.service = "s";
-            ask.own_entry = "10.0." + std::to_string(entry / 256) + "." +
-                            std::to_string(entry % 256);
-            ask.cold = {33, 5};
-            ask.all_entries = nullptr;
-            ask.entries = sharers(entry_count{});
-            ask.newcomer = is_newcomer(entry_count{}, start);
-            endpoint_table book;
+            placement_query query;
+            query.service = "s";
+            query.own_entry = "10.0." + std::to_string(entry / 256) + "." +
+                              std::to_string(entry % 256);
+            query.cold = {33, 5};
+            query.all_entries = nullptr;
+            query.entries = sharers(entry_count{});
+            query.newcomer = is_newcomer(entry_count{}, start);
+            endpoint_table table;
             endpoint_record record;
             record.id = "i-1";
             record.service = "s";
             record.address = "10.1.0.1:80";
             record.slots = 1000;
-            put(book, record);
+            put(table, record);
             base::random_state random{entry};
-            while (choose(book, ask, start, random).chosen != nullptr)
+            while (choose(table, query, start, random).chosen != nullptr)
             {
-                note_request_begun(book, "i-1", start);
+                note_request_begun(table, "i-1", start);
                 ++sent;
             }
         }
@@ -196,12 +199,12 @@
     }
 }
 
-// Random courses: entries that pause, begin late and ask at random moments. In
-// no second does a cold endpoint get more than it bears.
+// Random scenarios: entries that pause, start late and send at random times. A
+// cold endpoint never gets more in a second than it can handle.
 TEST(cold_share, no_course_sends_more_than_a_cold_endpoint_bears)
 {
     base::random_state random{31};
-    for (auto course = 0; course < 40; ++course)
+    for (auto scenario = 0; scenario < 40; ++scenario)
     {
         auto const entries = 1 + base::random_below(random, 60);
         cold_bound const bound{
@@ -220,8 +223,8 @@
             for (auto const& name : names)
             {
                 if (base::random_below(random, 3) == 0 &&
-                    has_part(names, {}, name, "endpoint", bound) &&
-                    may_send_within_part(recent[name], bound, entries, now))
+                    has_share(names, {}, name, "endpoint", bound) &&
+                    may_send_within_share(recent[name], bound, entries, now))
                 {
                     recent[name].push_back(now);
                     all.push_back(now);
@@ -233,16 +236,17 @@
             }
             auto const most = std::max(1.0, bound.per_second + bound.tolerance);
             ASSERT_LE(static_cast<double>(all.size()), most)
-                << "seed 31, course " << course << ", " << entries
+                << "seed 31, scenario " << scenario << ", " << entries
                 << " entries";
         }
     }
 }
 
-// Forty entries in three domains, 88 engines that bear 26 requests a second
-// when cold. Each entry gets fourteen a second and may send one a second to an
-// engine. With the parts drawn from all alike half of its own domain's engines
-// are closed to it, and a third of its answers cross the links between regions.
+// Forty entries in three domains, and 88 engines that can handle 26 requests a
+// second when cold. Each entry gets 14 requests a second and may send one a
+// second to an engine. Failure: with shares distributed over all entries alike,
+// an entry cannot use half of the engines in its own domain, and a third of its
+// answers cross the links between regions.
 TEST(cold_share, entries_use_all_engines_of_their_own_domain)
 {
     cold_bound const bound{21, 5};
@@ -252,16 +256,16 @@
     for (std::size_t engine = 0; engine < 88; ++engine)
     {
         auto const& own = domains.at(engine % 3);
-        std::size_t parts = 0;
+        std::size_t shares = 0;
         for (auto const& name : names)
         {
-            auto const has = has_part(
+            auto const has = has_share(
                 names, {&own, nullptr}, name, std::to_string(engine), bound);
-            parts += has;
+            shares += has;
             near[name] += has && own.contains(name);
             far[name] += has && !own.contains(name);
         }
-        EXPECT_LE(parts, 20U);
+        EXPECT_LE(shares, 20U);
     }
     for (auto const& name : names)
     {
@@ -270,8 +274,8 @@
     }
 }
 
-// One domain's engines are all gone. Its entries still get fourteen requests a
-// second each, and all of these have to go elsewhere.
+// All engines of one domain are gone. Its entries still get 14 requests a
+// second each, all of which have to go elsewhere.
 TEST(cold_share, entries_without_engines_come_before_those_with_their_own)
 {
     cold_bound const bound{21, 5};
@@ -282,7 +286,7 @@
         auto const& own = domains.at(1 + engine % 2);
         for (auto const& name : names)
         {
-            open[name] += has_part(
+            open[name] += has_share(
                 names, {&own, &domains.at(0)}, name, std::to_string(engine),
                 bound);
         }
@@ -293,8 +297,8 @@
     }
 }
 
-// Guards against entries that can send nowhere when the engines of their
-// failure domain are lost, and against parts that add up to more than is borne.
+// Failures: entries cannot send anywhere when the engines of their failure
+// domain are lost; the shares add up to more than an endpoint can handle.
 TEST(cold_share, entries_of_a_domain_without_engines_have_parts_at_any_size)
 {
     cold_bound const bound{21, 5};
@@ -312,17 +316,17 @@
         for (std::size_t engine = 0; engine < entries; ++engine)
         {
             auto const& own = made.by_domain.at(1 + engine % 4);
-            std::size_t parts = 0;
+            std::size_t shares = 0;
             for (auto const& name : made.all)
             {
-                auto const has = has_part(
+                auto const has = has_share(
                     made.all, {&own, &made.by_domain.at(0)}, name,
                     std::to_string(engine), bound);
-                parts += has;
+                shares += has;
                 open[name] += has;
             }
-            EXPECT_LE(parts, std::max<std::size_t>(entries, 20U));
-            EXPECT_GE(parts, std::min<std::size_t>(entries, 20U));
+            EXPECT_LE(shares, std::max<std::size_t>(entries, 20U));
+            EXPECT_GE(shares, std::min<std::size_t>(entries, 20U));
         }
         for (auto const& [name, count] : open)
         {
@@ -334,7 +338,7 @@
 TEST(cold_share, without_a_bound_everything_passes)
 {
     std::deque<base::time_point> const recent(1000, start);
-    EXPECT_TRUE(may_send_within_part(recent, {}, 8, start));
+    EXPECT_TRUE(may_send_within_share(recent, {}, 8, start));
 }
 
 TEST(entry_count, never_shrinks)
@@ -346,9 +350,9 @@
     EXPECT_EQ(sharers(count), 8U);
 }
 
-// One of three failure domains is cut off and its three entries are started
-// anew. When the cut heals, an endpoint is cold and everybody sends to it as
-// fast as it may, before the three have heard of the others.
+// Failure: one of three failure domains is cut off, and its three entries are
+// restarted. When the connection is restored, an endpoint is cold, and all
+// entries send to it as fast as they may before the three know the others.
 TEST(entry_count, entries_that_know_their_own_domain_only_take_no_more)
 {
     entry_count cut_off;
@@ -363,7 +367,7 @@
         for (std::size_t entry = 0; entry < recent.size(); ++entry)
         {
             auto const known = sharers(entry < 3 ? cut_off : others);
-            if (may_send_within_part(recent[entry], engines, known, now))
+            if (may_send_within_share(recent[entry], engines, known, now))
             {
                 recent[entry].push_back(now);
                 ++sent;
@@ -373,24 +377,24 @@
     EXPECT_LE(sent, 59U);
 }
 
-// Endpoints fail and every request is repeated: the load doubles just when
-// there is least room for it.
+// Failure: endpoints fail and every request is retried, which doubles the load
+// when there is the least capacity for it.
 TEST(retry_share, repeats_stay_a_share_of_the_requests)
 {
     retry_window window;
     retry_bound const bound{0.2, seconds(10), 104};
-    auto repeats = 0;
+    auto retries = 0;
     for (auto second = 0; second < 10; ++second)
     {
         for (auto request = 0; request < 30; ++request)
         {
             auto const now = start + seconds(second) + milliseconds(request);
             note_request(window, now);
-            repeats += spend_retry(window, bound, 8, now) ? 1 : 0;
+            retries += spend_retry(window, bound, 8, now) ? 1 : 0;
         }
     }
-    EXPECT_LE(repeats, 0.2 * 300 + 104 / 8.0);
-    EXPECT_GT(repeats, 40);
+    EXPECT_LE(retries, 0.2 * 300 + 104 / 8.0);
+    EXPECT_GT(retries, 40);
 }
 
 TEST(retry_share, comes_back_when_the_window_has_passed)
@@ -405,9 +409,9 @@
     EXPECT_TRUE(spend_retry(window, bound, 8, start + seconds(500)));
 }
 
-// Endpoints fail twice, 9.1 s apart. Repeats were counted by whole seconds, and
-// those of the first time dropped out of the count when the tenth second began:
-// both times all repeats of ten seconds were spent, within ten seconds.
+// Failure: endpoints fail twice, 9.1 s apart. Retries were counted by whole
+// seconds, and those of the first failure dropped out of the count when the
+// tenth second began. The retry budget of 10 s was spent twice within 10 s.
 TEST(retry_share, no_ten_seconds_have_more_repeats_than_allowed)
 {
     retry_bound const bound{0, seconds(10), 100};
--- a/libs/direct/tests/store_fallback_tests.cpp
+++ b/libs/direct/tests/store_fallback_tests.cpp
@@ -16,12 +16,12 @@
 
 base::time_point const start{std::chrono::seconds(100)};
 
-double draw(base::random_state& random)
+double random_fraction(base::random_state& random)
 {
     return static_cast<double>(base::random_below(random, 1000)) / 1000;
 }
 
-// Reads of that many agents in each second, while no entry answers any.
+// Returns the reads of this many agents in each second while no entry answers.
 std::map<std::int64_t, std::size_t> reads_of(std::size_t agents)
 {
     base::random_state random{5};
@@ -37,7 +37,8 @@
         for (auto& one : all)
         {
             if (may_read_store(
-                    one, list_need::model, start + passed, draw(random)))
+                    one, list_need::model, start + passed,
+                    random_fraction(random)))
             {
                 ++reads[passed.count() / 1000];
             }
@@ -48,7 +49,7 @@
 
 } // namespace
 
-// Guards against agents that read the store before entries could know them.
+// Failure: agents read the store before entries can know them.
 TEST(store_fallback, whoever_starts_leaves_the_store_alone_for_four_seconds)
 {
     for (std::size_t const agents : {20U, 178U, 434U})
@@ -58,9 +59,9 @@
     }
 }
 
-// Guards against agents that all read at once, or go on at the same pace when
-// the links are full: at most a third of them reads in the same second, and
-// later an eighth.
+// Failure: agents all read at once, or continue at the same rate when the links
+// are full. At most a third of them may read in the same second, and later at
+// most an eighth.
 TEST(store_fallback, reads_are_spread_and_become_rare)
 {
     for (std::size_t const agents : {100U, 178U, 434U})
@@ -91,7 +92,7 @@
     EXPECT_TRUE(reads(12100));
 }
 
-// Guards against a version that waits for lists that no entry tells.
+// Failure: a version waits for lists that no entry sends.
 TEST(store_fallback, a_transfer_reads_once_without_delay)
 {
     store_fallback one;
--- a/libs/direct/tests/store_return_tests.cpp
+++ b/libs/direct/tests/store_return_tests.cpp
@@ -22,30 +22,31 @@
     return made;
 }
 
-bool takes_work(endpoint_table const& book, std::string const& id)
+bool is_usable(endpoint_table const& table, std::string const& id)
 {
-    auto const found = book.endpoints.find(id);
-    return found != book.endpoints.end() && !found->second.listed.draining;
+    auto const found = table.endpoints.find(id);
+    return found != table.endpoints.end() && !found->second.listed.draining;
 }
 
-// A list with one that left, one that is leaving and one that stays.
-endpoint_table before_return()
+// Returns a table with one endpoint that left, one that is leaving and one that
+// stays.
+endpoint_table before_restore()
 {
-    endpoint_table book;
+    endpoint_table table;
     for (auto const* id : {"gone", "leaving", "stays"})
     {
-        put(book, record(id, false));
+        put(table, record(id, false));
     }
-    remove(book, "gone", false, start);
-    put(book, record("leaving", true));
-    return book;
+    remove(table, "gone", false, start);
+    put(table, record("leaving", true));
+    return table;
 }
 
-// The copy of before all that.
-void list_copy(endpoint_table& book, base::time_point now)
+// Lists the copy, which is older than all these changes.
+void list_copy(endpoint_table& table, base::time_point now)
 {
     replace_all(
-        book,
+        table,
         {record("gone", false), record("leaving", false),
          record("stays", false)},
         true, now);
@@ -53,148 +54,149 @@
 
 } // namespace
 
-// Guards against requests to endpoints that the copy still lists.
+// Failure: requests go to endpoints that only the copy still lists.
 TEST(store_return, what_left_is_not_used_while_the_copy_may_be_wrong)
 {
-    auto book = before_return();
-    note_store_restored(book, start + milliseconds(100));
-    list_copy(book, start + milliseconds(200));
-    EXPECT_FALSE(takes_work(book, "gone"));
-    EXPECT_FALSE(takes_work(book, "leaving"));
-    EXPECT_TRUE(takes_work(book, "stays"));
-    expire(book, start + copy_time);
-    EXPECT_FALSE(takes_work(book, "gone"));
+    auto table = before_restore();
+    note_store_restored(table, start + milliseconds(100));
+    list_copy(table, start + milliseconds(200));
+    EXPECT_FALSE(is_usable(table, "gone"));
+    EXPECT_FALSE(is_usable(table, "leaving"));
+    EXPECT_TRUE(is_usable(table, "stays"));
+    expire(table, start + withhold_time);
+    EXPECT_FALSE(is_usable(table, "gone"));
 }
 
-// Guards against endpoints that are kept back for good though they live.
+// Failure: live endpoints are withheld for good.
 TEST(store_return, what_is_still_listed_after_three_heartbeats_is_believed)
 {
-    auto book = before_return();
-    note_store_restored(book, start);
-    list_copy(book, start);
-    expire(book, start + copy_time);
-    EXPECT_TRUE(takes_work(book, "gone"));
-    EXPECT_TRUE(takes_work(book, "leaving"));
+    auto table = before_restore();
+    note_store_restored(table, start);
+    list_copy(table, start);
+    expire(table, start + withhold_time);
+    EXPECT_TRUE(is_usable(table, "gone"));
+    EXPECT_TRUE(is_usable(table, "leaving"));
 }
 
-// Guards against waiting for an endpoint that has said itself that it is there.
+// Failure: an endpoint is withheld although it has registered again.
 TEST(store_return, what_writes_itself_anew_is_believed_at_once)
 {
-    auto book = before_return();
-    note_store_restored(book, start);
-    list_copy(book, start);
-    put(book, record("gone", false));
-    EXPECT_TRUE(takes_work(book, "gone"));
+    auto table = before_restore();
+    note_store_restored(table, start);
+    list_copy(table, start);
+    put(table, record("gone", false));
+    EXPECT_TRUE(is_usable(table, "gone"));
 }
 
-// Guards against an endpoint that is missed in the copy, writes itself again
-// and is doubted when the list is read once more.
+// Failure: an endpoint that the copy lacks registers again, and its record is
+// withheld when the list is read once more.
 TEST(store_return, what_only_lapsed_is_believed_when_it_is_listed_again)
 {
-    endpoint_table book;
-    put(book, record("joined", false));
-    note_store_restored(book, start);
-    replace_all(book, {}, true, start);
-    expire(book, start + lapse_time);
-    EXPECT_FALSE(takes_work(book, "joined"));
-    auto const later = start + lapse_time + milliseconds(300);
-    replace_all(book, {record("joined", false)}, true, later);
-    EXPECT_TRUE(takes_work(book, "joined"));
+    endpoint_table table;
+    put(table, record("joined", false));
+    note_store_restored(table, start);
+    replace_all(table, {}, true, start);
+    expire(table, start + removal_grace);
+    EXPECT_FALSE(is_usable(table, "joined"));
+    auto const later = start + removal_grace + milliseconds(300);
+    replace_all(table, {record("joined", false)}, true, later);
+    EXPECT_TRUE(is_usable(table, "joined"));
 }
 
-// Guards against the same where a second reader of the list did not see the
-// store's absence.
+// The same when a second reader of the list did not notice that the store was
+// away.
 TEST(store_return, what_the_copy_lacks_has_not_left)
 {
-    endpoint_table book;
-    put(book, record("joined", false));
-    note_store_restored(book, start);
-    replace_all(book, {}, false, start);
-    EXPECT_TRUE(takes_work(book, "joined"));
-    expire(book, start + lapse_time);
-    auto const later = start + lapse_time + milliseconds(300);
-    replace_all(book, {record("joined", false)}, false, later);
-    EXPECT_TRUE(takes_work(book, "joined"));
+    endpoint_table table;
+    put(table, record("joined", false));
+    note_store_restored(table, start);
+    replace_all(table, {}, false, start);
+    EXPECT_TRUE(is_usable(table, "joined"));
+    expire(table, start + removal_grace);
+    auto const later = start + removal_grace + milliseconds(300);
+    replace_all(table, {record("joined", false)}, false, later);
+    EXPECT_TRUE(is_usable(table, "joined"));
 }
 
-// Guards against the same for one that was removed and then started anew.
+// The same for an endpoint that was removed and then started again.
 TEST(store_return, what_wrote_itself_anew_is_believed_in_later_lists)
 {
-    auto book = before_return();
-    note_store_restored(book, start);
-    list_copy(book, start);
-    put(book, record("gone", false));
-    list_copy(book, start + milliseconds(300));
-    EXPECT_TRUE(takes_work(book, "gone"));
+    auto table = before_restore();
+    note_store_restored(table, start);
+    list_copy(table, start);
+    put(table, record("gone", false));
+    list_copy(table, start + milliseconds(300));
+    EXPECT_TRUE(is_usable(table, "gone"));
 }
 
-// Guards against a record of the copy that comes back after its removal.
+// Failure: a withheld record is applied after its endpoint was removed.
 TEST(store_return, what_is_removed_meanwhile_does_not_come_back)
 {
-    auto book = before_return();
-    note_store_restored(book, start);
-    list_copy(book, start);
-    remove(book, "gone", false, start + milliseconds(3600));
-    expire(book, start + copy_time);
-    EXPECT_FALSE(book.endpoints.contains("gone"));
+    auto table = before_restore();
+    note_store_restored(table, start);
+    list_copy(table, start);
+    remove(table, "gone", false, start + milliseconds(3600));
+    expire(table, start + withhold_time);
+    EXPECT_FALSE(table.endpoints.contains("gone"));
 }
 
-// Guards against doubts about the lists of a store that loses nothing.
+// Failure: records are withheld although the store was not restored.
 TEST(store_return, without_a_return_a_list_holds_as_it_is)
 {
-    auto book = before_return();
-    list_copy(book, start);
-    EXPECT_TRUE(takes_work(book, "gone"));
-    EXPECT_TRUE(takes_work(book, "leaving"));
+    auto table = before_restore();
+    list_copy(table, start);
+    EXPECT_TRUE(is_usable(table, "gone"));
+    EXPECT_TRUE(is_usable(table, "leaving"));
 }
 
-// Guards against work in a failure domain that the copy does not show as out.
+// Failure: requests go to a failure domain that the copy does not list as out
+// of service.
 TEST(store_return, a_domain_that_the_copy_lacks_stays_out_for_a_while)
 {
-    endpoint_table book;
-    take_out_of_service(book, "a");
-    note_store_restored(book, start);
-    EXPECT_TRUE(replace_domains(book, {}, start).empty());
-    EXPECT_TRUE(expire_domains(book, start + milliseconds(29999)).empty());
-    EXPECT_TRUE(book.domains_out.contains("a"));
+    endpoint_table table;
+    take_out_of_service(table, "a");
+    note_store_restored(table, start);
+    EXPECT_TRUE(replace_domains(table, {}, start).empty());
+    EXPECT_TRUE(expire_domains(table, start + milliseconds(29999)).empty());
+    EXPECT_TRUE(table.domains_out.contains("a"));
     EXPECT_EQ(
-        expire_domains(book, start + held_out_time),
+        expire_domains(table, start + held_out_time),
         std::vector<std::string>{"a"});
-    EXPECT_FALSE(book.domains_out.contains("a"));
+    EXPECT_FALSE(table.domains_out.contains("a"));
 }
 
-// Guards against a domain that comes back because it once was held out.
+// Failure: a domain returns to service because it was once held out.
 TEST(store_return, a_domain_that_is_written_again_is_out_as_before)
 {
-    endpoint_table book;
-    take_out_of_service(book, "a");
-    note_store_restored(book, start);
-    replace_domains(book, {}, start);
-    take_out_of_service(book, "a");
-    EXPECT_TRUE(expire_domains(book, start + held_out_time).empty());
-    EXPECT_TRUE(book.domains_out.contains("a"));
-    EXPECT_TRUE(return_to_service(book, "a"));
+    endpoint_table table;
+    take_out_of_service(table, "a");
+    note_store_restored(table, start);
+    replace_domains(table, {}, start);
+    take_out_of_service(table, "a");
+    EXPECT_TRUE(expire_domains(table, start + held_out_time).empty());
+    EXPECT_TRUE(table.domains_out.contains("a"));
+    EXPECT_TRUE(return_to_service(table, "a"));
 }
 
 TEST(store_return, without_a_return_a_domain_comes_back_with_the_list)
 {
-    endpoint_table book;
-    take_out_of_service(book, "a");
-    EXPECT_EQ(replace_domains(book, {}, start), std::vector<std::string>{"a"});
-    EXPECT_TRUE(book.domains_out.empty());
+    endpoint_table table;
+    take_out_of_service(table, "a");
+    EXPECT_EQ(replace_domains(table, {}, start), std::vector<std::string>{"a"});
+    EXPECT_TRUE(table.domains_out.empty());
 }
 
-// Guards against a memory that grows with each endpoint that ever left.
+// Failure: the memory of departed endpoints grows without limit.
 TEST(store_return, the_memory_of_what_left_is_bounded)
 {
-    endpoint_table book;
-    for (std::size_t number = 0; number < 3 * most_left; ++number)
+    endpoint_table table;
+    for (std::size_t number = 0; number < 3 * max_departed; ++number)
     {
-        note_left(book, std::to_string(number), start);
+        note_departed(table, std::to_string(number), start);
     }
-    EXPECT_EQ(book.doubt.left.size(), most_left);
-    note_left(book, "later", start + left_memory + milliseconds(1));
-    EXPECT_EQ(book.doubt.left.size(), 1U);
+    EXPECT_EQ(table.restore_state.departed.size(), max_departed);
+    note_departed(table, "later", start + departed_memory + milliseconds(1));
+    EXPECT_EQ(table.restore_state.departed.size(), 1U);
 }
 
 } // namespace foxtailvale::direct
--- a/libs/direct/tests/watch_duty_tests.cpp
+++ b/libs/direct/tests/watch_duty_tests.cpp
@@ -16,8 +16,8 @@
 
 constexpr milliseconds step{50};
 
-// Entries that hear each other's announcements, each with a store that answers
-// it or not, in virtual time.
+// Entries in virtual time that receive each other's announcements, each with a
+// store that answers it or not.
 class fleet
 {
 public:
@@ -34,14 +34,14 @@
                 duty.jitter =
                     milliseconds(100 * ((domain * entries_each + number) % 15));
                 duty.since = this->now;
-                duty.followed = this->now;
+                duty.views_confirmed_at = this->now;
                 duty.neighbours = this->neighbours;
                 this->duties.push_back(duty);
             }
         }
     }
 
-    // All start anew and know these entries.
+    // Restarts all entries with these seeds.
     void start_with(std::vector<std::string> const& seeds)
     {
         for (auto& duty : this->duties)
@@ -85,26 +85,26 @@
             }));
     }
 
-    // The longest time for which an entry's view was not confirmed.
-    milliseconds longest_unconfirmed{0};
+    // Longest time for which an entry's view was not confirmed.
+    milliseconds max_unconfirmed{0};
     std::set<std::string> dead;
-    // Those that the store turns away.
+    // Entries that the store rejects.
     std::set<std::string> refused;
-    // Failure domains that hear no others.
-    std::set<std::string> cut;
-    // From the beginning of a watch to the store's answer.
+    // Failure domains that are cut off from all others.
+    std::set<std::string> partitioned;
+    // Time from the start of a watch to the store's answer.
     milliseconds listing_time{0};
-    // All that have watched.
-    std::set<std::string> ever;
-    // Questions of followers to other failure domains.
-    std::size_t far_questions = 0;
+    // All entries that have watched at some time.
+    std::set<std::string> ever_watched;
+    // Number of queries from followers to other failure domains.
+    std::size_t remote_queries = 0;
 
 private:
-    bool hears(watch_duty const& one, watch_duty const& other) const
+    bool can_reach(watch_duty const& one, watch_duty const& other) const
     {
         return one.own_domain == other.own_domain ||
-               (!this->cut.contains(one.own_domain) &&
-                !this->cut.contains(other.own_domain));
+               (!this->partitioned.contains(one.own_domain) &&
+                !this->partitioned.contains(other.own_domain));
     }
 
     bool is_fresh(watch_duty const& duty) const
@@ -121,15 +121,15 @@
             {
                 continue;
             }
-            this->hear(duty);
+            this->receive_announcements(duty);
             decide(duty, this->is_fresh(duty), this->now);
             if (duty.watching)
             {
-                this->ever.insert(duty.own);
+                this->ever_watched.insert(duty.own);
             }
             else
             {
-                this->far_questions += this->far_asked(duty);
+                this->remote_queries += this->remote_asked(duty);
             }
             auto& latest =
                 this->confirmed.try_emplace(duty.own, this->now).first->second;
@@ -137,13 +137,13 @@
             {
                 latest = this->now;
             }
-            latest = std::max(latest, duty.followed);
-            this->longest_unconfirmed =
-                std::max(this->longest_unconfirmed, this->now - latest);
+            latest = std::max(latest, duty.views_confirmed_at);
+            this->max_unconfirmed =
+                std::max(this->max_unconfirmed, this->now - latest);
         }
     }
 
-    std::size_t far_asked(watch_duty const& duty) const
+    std::size_t remote_asked(watch_duty const& duty) const
     {
         auto const all = asked(duty, this->now);
         return static_cast<std::size_t>(std::ranges::count_if(
@@ -154,21 +154,21 @@
             }));
     }
 
-    void hear(watch_duty& duty)
+    void receive_announcements(watch_duty& duty)
     {
         for (auto const& other : this->duties)
         {
             if (other.own == duty.own || this->dead.contains(other.own) ||
-                !this->hears(duty, other))
+                !this->can_reach(duty, other))
             {
                 continue;
             }
             if (!other.watching)
             {
-                // It said so when it stopped.
+                // The entry announced this when it stopped.
                 note_watcher(
-                    duty, other.own, other.own_domain, watch_status::not_watching,
-                    this->now);
+                    duty, other.own, other.own_domain,
+                    watch_status::not_watching, this->now);
                 continue;
             }
             auto const fresh = this->is_fresh(other);
@@ -215,53 +215,53 @@
     EXPECT_EQ(entries.watching().size(), 1U);
 }
 
-// A machine that watches loses power. Endpoints leave in that moment: the
-// others must hear of it within two seconds.
+// A machine that watches loses power while endpoints leave. The other entries
+// must learn of them within 2 s.
 TEST(watch_duty, a_watcher_that_dies_is_replaced_in_time)
 {
     fleet entries(3, 11);
     entries.run(seconds(6));
     entries.dead = entries.watching();
-    entries.longest_unconfirmed = milliseconds(0);
+    entries.max_unconfirmed = milliseconds(0);
     entries.run(seconds(12));
-    EXPECT_LE(entries.longest_unconfirmed, milliseconds(1400));
+    EXPECT_LE(entries.max_unconfirmed, milliseconds(1400));
     EXPECT_EQ(entries.watching().size(), 3U);
 }
 
-// The store turns a third of the machines away, watchers among them, and
-// serves the others. Nobody may be left with an old view.
+// The store rejects a third of the machines, including watchers, and serves the
+// others. No entry may be left with an outdated view.
 TEST(watch_duty, entries_that_the_store_turns_away_follow_others)
 {
     fleet entries(3, 11);
     entries.run(seconds(6));
     entries.refused = entries.watching();
-    entries.longest_unconfirmed = milliseconds(0);
+    entries.max_unconfirmed = milliseconds(0);
     entries.run(seconds(12));
-    EXPECT_LE(entries.longest_unconfirmed, milliseconds(1400));
+    EXPECT_LE(entries.max_unconfirmed, milliseconds(1400));
     for (auto const& name : entries.watching())
     {
         EXPECT_FALSE(entries.refused.contains(name)) << name;
     }
 }
 
-// A failure domain hears no others for a while. It looks after itself, and
-// goes back to one watcher afterwards.
+// A failure domain is cut off for a while. It watches on its own and returns to
+// one watcher afterwards.
 TEST(watch_duty, a_failure_domain_that_is_cut_off_watches_for_itself)
 {
     fleet entries(3, 11);
     entries.run(seconds(6));
-    entries.cut = {"d1"};
-    entries.longest_unconfirmed = milliseconds(0);
+    entries.partitioned = {"d1"};
+    entries.max_unconfirmed = milliseconds(0);
     entries.run(seconds(6));
     EXPECT_GE(entries.watching_in("d1"), 1U);
-    EXPECT_LE(entries.longest_unconfirmed, milliseconds(1400));
-    entries.cut.clear();
+    EXPECT_LE(entries.max_unconfirmed, milliseconds(1400));
+    entries.partitioned.clear();
     entries.run(seconds(8));
     EXPECT_EQ(entries.watching().size(), 3U);
 }
 
-// The store is away for everybody. All look for it, so that whoever reaches it
-// first tells the others; afterwards few watch again.
+// The store is down for all entries. All of them probe it, so that the first
+// one that reaches it notifies the others; afterwards few watch again.
 TEST(watch_duty, all_look_for_a_store_that_is_away)
 {
     fleet entries(2, 4);
@@ -278,7 +278,7 @@
     EXPECT_EQ(entries.watching().size(), 2U);
 }
 
-// Guards against calls to a store that is away growing with the fleet.
+// Failure: the calls to a store that is down grow with the fleet.
 TEST(watch_duty, few_of_many_look_for_a_store_that_is_away)
 {
     for (std::size_t const each : {8UL, 30UL, 82UL})
@@ -297,7 +297,7 @@
         for (auto passed = 0; passed < 12; ++passed)
         {
             entries.run(seconds(1));
-            EXPECT_LE(entries.watching().size(), 5 * most_lookers + 5);
+            EXPECT_LE(entries.watching().size(), 5 * max_unanswered + 5);
             EXPECT_GE(entries.watching().size(), 5U);
         }
         entries.refused.clear();
@@ -306,8 +306,8 @@
     }
 }
 
-// Guards against views that grow old where just those that look for the store
-// are turned away.
+// Failure: views become outdated when the store rejects just those entries that
+// probe it.
 TEST(watch_duty, others_look_where_those_that_do_are_turned_away)
 {
     fleet entries(5, 30);
@@ -324,12 +324,12 @@
             }
         }
     }
-    entries.longest_unconfirmed = milliseconds(0);
+    entries.max_unconfirmed = milliseconds(0);
     entries.run(seconds(12));
-    EXPECT_LE(entries.longest_unconfirmed, milliseconds(1400));
+    EXPECT_LE(entries.max_unconfirmed, milliseconds(1400));
 }
 
-// Guards against every entry of a fleet that starts listing everything.
+// Failure: every entry of a fleet that starts lists everything.
 TEST(watch_duty, few_of_many_that_start_together_watch)
 {
     for (std::size_t const each : {8UL, 30UL, 82UL})
@@ -338,14 +338,14 @@
         entries.listing_time = milliseconds(300);
         entries.start_with({"d0-1", "d1-2", "d2-3"});
         entries.run(seconds(8));
-        EXPECT_LE(entries.ever.size(), 3 + 5 * most_lookers) << each;
+        EXPECT_LE(entries.ever_watched.size(), 3 + 5 * max_unanswered) << each;
         EXPECT_EQ(entries.watching().size(), 5U) << each;
     }
 }
 
-// Guards against what crosses the links between domains growing with the
-// entries: once watchers are known, followers ask nobody elsewhere, with a seed
-// in each domain or with all seeds in one.
+// Failure: the traffic between domains grows with the number of entries. Once
+// watchers are known, followers ask nobody in other domains, with a seed in
+// each domain or with all seeds in one.
 TEST(watch_duty, followers_ask_nothing_over_the_links_at_any_size)
 {
     for (std::size_t const each : {4U, 10U, 34U, 66U})
@@ -356,22 +356,22 @@
             fleet entries(3, each);
             entries.start_with(seeds);
             entries.run(seconds(6));
-            entries.far_questions = 0;
+            entries.remote_queries = 0;
             entries.run(seconds(10));
-            EXPECT_EQ(entries.far_questions, 0U) << each << seeds.at(1);
+            EXPECT_EQ(entries.remote_queries, 0U) << each << seeds.at(1);
         }
     }
 }
 
-// Guards against entries that wait for seeds which are gone.
+// Failure: entries wait for seeds that are gone.
 TEST(watch_duty, entries_whose_seeds_are_gone_watch_soon)
 {
     fleet entries(3, 10);
     entries.dead = {"d0-1", "d1-2", "d2-3"};
     entries.start_with({"d0-1", "d1-2", "d2-3"});
-    entries.longest_unconfirmed = milliseconds(0);
+    entries.max_unconfirmed = milliseconds(0);
     entries.run(seconds(4));
-    EXPECT_LE(entries.longest_unconfirmed, milliseconds(1200));
+    EXPECT_LE(entries.max_unconfirmed, milliseconds(1200));
     EXPECT_GE(entries.watching().size(), 3U);
 }
 
@@ -389,8 +389,8 @@
     EXPECT_TRUE(sources(duty, {seconds(102)}).empty());
 }
 
-// Guards against lists that cross the links between domains once for each entry
-// although a watcher of the own domain has them.
+// Failure: lists cross the links between domains once for each entry although a
+// watcher of the same domain has them.
 TEST(watch_duty, other_domains_are_asked_only_while_none_of_the_own_confirms)
 {
     base::boot_time const start{seconds(100)};
@@ -398,7 +398,7 @@
     duty.own = "own-1";
     duty.own_domain = "own";
     duty.watching = false;
-    duty.followed = start;
+    duty.views_confirmed_at = start;
     note_watcher(duty, "far-1", "far", watch_status::fresh, start);
     EXPECT_TRUE(accepts_views_from(duty, "far", start));
     EXPECT_EQ(asked(duty, start), std::vector<std::string>{"far-1"});
@@ -406,18 +406,18 @@
     EXPECT_FALSE(accepts_views_from(duty, "far", start));
     EXPECT_EQ(asked(duty, start), std::vector<std::string>{"own-2"});
     EXPECT_FALSE(notifies_immediately(duty, "far", start));
-    auto const late = start + near_patience + milliseconds(1);
+    auto const late = start + own_domain_timeout + milliseconds(1);
     EXPECT_TRUE(accepts_views_from(duty, "far", late));
     EXPECT_EQ(asked(duty, late), (std::vector<std::string>{"own-2", "far-1"}));
-    auto const silent = start + watcher_silence + milliseconds(1);
-    note_views_confirmed(duty, silent);
-    note_watcher(duty, "far-1", "far", watch_status::fresh, silent);
-    EXPECT_TRUE(accepts_views_from(duty, "far", silent));
-    EXPECT_TRUE(notifies_immediately(duty, "other", silent));
+    auto const expired = start + watcher_timeout + milliseconds(1);
+    note_views_confirmed(duty, expired);
+    note_watcher(duty, "far-1", "far", watch_status::fresh, expired);
+    EXPECT_TRUE(accepts_views_from(duty, "far", expired));
+    EXPECT_TRUE(notifies_immediately(duty, "other", expired));
 }
 
-// Guards against the end of a process whose watchers all fell silent, one of
-// which is a seed.
+// Failure: the process crashes when all of its watchers have become
+// unresponsive and one of them is a seed.
 TEST(watch_duty, seeds_are_asked_anew_when_one_of_them_fell_silent)
 {
     base::boot_time const start{seconds(100)};
@@ -427,11 +427,11 @@
     duty.seeds = {"own-2", "far-1"};
     note_watcher(duty, "own-2", "own", watch_status::fresh, start);
     EXPECT_EQ(asked(duty, start).size(), 1U);
-    auto const silent = start + watcher_silence + milliseconds(1);
-    EXPECT_EQ(asked(duty, silent).size(), 2U);
+    auto const expired = start + watcher_timeout + milliseconds(1);
+    EXPECT_EQ(asked(duty, expired).size(), 2U);
 }
 
-// Guards against an entry that starts and asks only seeds of other domains.
+// Failure: an entry that starts asks only seeds of other domains.
 TEST(watch_duty, whoever_knows_no_watcher_asks_all_seeds)
 {
     watch_duty duty;
