--- a/libs/control/include/control/lease.hpp
+++ b/libs/control/include/control/lease.hpp
@@ -12,9 +12,10 @@
 namespace foxtailvale::control
 {
 
-// The planner lease as it stands in the object API. Only the version counts:
-// a holder renews by writing, and others watch for a version that stands
-// still. No time of day is written, since VMs' clocks differ.
+// The planner lease as stored in the object API. Only the object's version
+// matters: the holder renews the lease by writing the object, and other
+// processes watch for a version that no longer changes. No wall-clock time is
+// stored, since the clocks of VMs differ.
 struct lease_record
 {
     std::string holder;
@@ -24,44 +25,48 @@
 std::string to_text(lease_record const& record);
 base::result<lease_record> parse_lease(std::string const& text);
 
-// What one process knows of the lease.
+// What one process knows about the lease.
 struct lease_state
 {
     std::string self;
-    // Version last read, and since when it has stood still by our own clock.
+    // The version that was read last, and since when it has been unchanged, by
+    // the local clock.
     std::uint64_t version = 0;
     base::time_point seen_since;
     bool seen = false;
-    // Until when we hold it; counted from before the call that took it, so
-    // that a slow answer cannot lengthen it.
+    // When the lease that this process holds expires. Counted from before the
+    // call that took the lease, so that a slow response cannot extend it.
     std::optional<base::time_point> held_until;
 };
 
-// Length of a lease, and how often its holder renews it. Made for a store
-// that is slow for a second: three renewals fit into one lease. Longer would
-// leave a domain without a planner for longer after its planner died; the
-// last plan stays in force meanwhile.
+// Length of a lease and interval between renewals. Three renewals fit into one
+// lease, so that a store that is slow for a second does not cost the lease. A
+// longer lease would leave a failure domain without a planner for longer after
+// its planner died; the last plan stays in force meanwhile.
 inline constexpr std::chrono::milliseconds lease_length{6000};
 inline constexpr std::chrono::milliseconds lease_renewal{2000};
 
-// Notes what a read of the lease showed.
+// Records the version that a read of the lease returned.
 void lease_seen(
     lease_state& state, std::uint64_t version, base::time_point now);
 
-// Whether this process may try to write the lease now: it holds it, or nobody
-// has renewed it for a whole length.
+// Whether this process may try to write the lease now: it holds the lease, the
+// lease object does not exist yet, or nobody has renewed it for a whole lease
+// length.
 bool may_take_lease(lease_state const& state, base::time_point now);
 
-// Notes that our conditional write took effect; `asked` is when it was sent.
+// Records that the conditional write of this process took effect; `sent_at` is
+// when the write was sent.
 void lease_taken(
-    lease_state& state, std::uint64_t version, base::time_point asked);
+    lease_state& state, std::uint64_t version, base::time_point sent_at);
 
-// Notes that another writer was first.
+// Records that another process wrote the lease first.
 void lease_refused(lease_state& state);
 
-// Whether orders may be given under the lease. The conditional update of the
-// plan is the real guard: a holder that was paused past its lease still loses
-// there, since its successor has raised the plan's version.
+// Whether this process may issue plans under the lease. This check alone does
+// not exclude two planners: a holder that was paused beyond its lease is
+// stopped by the conditional update of the plan, since its successor has
+// increased the plan's version.
 bool holds_lease(lease_state const& state, base::time_point now);
 
 } // namespace foxtailvale::control
--- a/libs/control/include/control/plan.hpp
+++ b/libs/control/include/control/plan.hpp
@@ -11,7 +11,7 @@
 namespace foxtailvale::control
 {
 
-// One model at one version that an endpoint is to hold.
+// A version of a model assigned to an endpoint.
 struct assigned_model
 {
     std::string model;
@@ -20,10 +20,10 @@
     auto operator<=>(assigned_model const&) const = default;
 };
 
-// What one endpoint of a failure domain is to hold.
+// The models assigned to one endpoint of a failure domain.
 struct plan_endpoint
 {
-    // Name of the agent before the endpoint.
+    // Name of the agent beside the endpoint.
     std::string agent;
     // Peer address of the agent, "IP:PORT".
     std::string address;
@@ -32,33 +32,33 @@
     bool operator==(plan_endpoint const&) const = default;
 };
 
-// The plan of one failure domain. Its version only grows and is the fencing
-// number of every order given under it.
+// The plan of one failure domain. Its version only increases and serves as the
+// fencing token of all work that is done under the plan.
 struct domain_plan
 {
     std::string failure_domain;
     std::string region;
     std::uint64_t version = 0;
-    // Generation of the configuration that the plan carries out.
+    // Generation of the configuration that the plan implements.
     std::uint64_t generation = 0;
-    // In order of agent name.
+    // Sorted by agent name.
     std::vector<plan_endpoint> endpoints;
 
     bool operator==(domain_plan const&) const = default;
 };
 
-// What the plan gives the agent; nothing when it is not in the plan.
+// The agent's part of the plan; null when the plan does not contain the agent.
 plan_endpoint const*
 find_agent(domain_plan const& plan, std::string const& agent);
 
-// Agents of the plan that are to hold the digest, in order of name.
+// Endpoints to which the plan assigns the digest, sorted by agent name.
 std::vector<plan_endpoint const*>
 holders(domain_plan const& plan, std::string const& digest);
 
-// The stored and sent form.
+// Serialises the plan for storage and transmission.
 std::string to_text(domain_plan const& plan);
 
-// Reads the stored form; bad_frame when it is not one.
+// Parses a serialised plan; bad_frame when it is malformed.
 base::result<domain_plan> parse_plan(std::string const& text);
 
 } // namespace foxtailvale::control
--- a/libs/control/include/control/planner.hpp
+++ b/libs/control/include/control/planner.hpp
@@ -11,7 +11,7 @@
 namespace foxtailvale::control
 {
 
-// An engine endpoint that the planner may use.
+// An engine endpoint that the planner may assign models to.
 struct plan_member
 {
     std::string agent;
@@ -19,22 +19,24 @@
     std::uint32_t memory_mib = 0;
 };
 
-// The next plan of one failure domain: each model on as many endpoints as the
-// configuration wants there, or on as many as there are. An endpoint keeps
-// what it has while that is still wanted (weights are costly to move); new
-// replicas go to the endpoints with the least memory in use, by name on a tie,
-// so that equal inputs give equal plans on every process. A domain that is out
-// keeps its plan: it must come back without a burst.
+// Computes the next plan of one failure domain. Each model goes to as many
+// endpoints as the configuration requests there, or to as many as there are. An
+// endpoint keeps its models while they are still requested, because moving
+// weights is expensive; new replicas go to the endpoints with the least memory
+// in use, ties broken by name, so that equal inputs give equal plans in every
+// process. A failure domain that is out of service keeps its plan, so that its
+// return does not cause a burst of weight transfers.
 //
-// The version is left as in the previous plan; whoever writes the plan raises
-// it, and only when something else changed.
+// The version is copied from the previous plan. The writer of the plan
+// increases it, and only when something else changed.
 domain_plan make_plan(
     release::configuration const& configuration,
     std::string const& failure_domain,
     std::vector<plan_member> members,
     domain_plan const& previous);
 
-// Whether two plans order the same.
+// Whether two plans have the same region and assign the same models to the same
+// endpoints.
 bool same_assignments(domain_plan const& left, domain_plan const& right);
 
 } // namespace foxtailvale::control
--- a/libs/control/include/control/topology.hpp
+++ b/libs/control/include/control/topology.hpp
@@ -9,38 +9,42 @@
 #include <string>
 #include <vector>
 
-// Who talks to whom. Every process computes this alike from the list of VMs
-// and from who is alive, by rendezvous hash, so that nothing has to be agreed:
-// views that differ for a moment cost a few frames more and nothing else.
-// Made for 60 entries and 215 agents a failure domain, where all-to-all
-// heartbeats would take 50 times the control budget of a node.
+// Which processes exchange heartbeats and updates. Each process computes this
+// independently, by rendezvous hashing over the list of VMs and the members
+// that are alive, so no agreement protocol is needed: temporarily different
+// views cost only a few extra frames. With 60 entries and 215 agents in a
+// failure domain, all-to-all heartbeats would take 50 times the control budget
+// of a node.
 namespace foxtailvale::control
 {
 
-// Entries of a failure domain that wait at the platform for changes. Each
-// waiting watch counts as a call; with one, its death would leave the domain
-// without news until it is suspected.
+// Entries per failure domain that watch the platform for changes. Few are
+// used because each pending watch counts as a call; a single one would not do,
+// because its death would leave the domain without updates until it is
+// suspected.
 inline constexpr std::size_t watchers_per_domain = 2;
 
-// Entries that hear each other every second, so that a watcher's successor is
-// ready in seconds: the watchers and the next two.
+// Entries that exchange heartbeats every second: the watchers and the next two
+// candidates, so that a successor of a watcher is ready within seconds.
 inline constexpr std::size_t watcher_candidates = 4;
 
-// Entries that an agent sends its heartbeats to. One may die and one may be
-// cut off from the agent alone, and its heartbeat still arrives.
+// Entries that receive an agent's heartbeats. With three, a heartbeat still
+// arrives when one of them is dead and another is cut off from this agent.
 inline constexpr std::size_t listeners_per_agent = 3;
 
-// Peers that one process pushes a change to. Four keep a domain of 60 entries
-// within three hops, and a push within four documents a node.
+// Fan-out of the tree over which changes are pushed. Four reaches the 60
+// entries of a failure domain within three hops and limits a push to four
+// documents per node.
 inline constexpr std::size_t push_fan_out = 4;
 
-// Endpoints that an entry knows of each model, and of all services, in each
-// other failure domain: enough that two random choices among them still
-// spread, few enough that 410 entries do not load each agent.
+// Endpoints that an entry tracks in each other failure domain, per model and
+// for all plain services together. Eight are enough that choosing between two
+// random ones still spreads the load, and few enough that 410 entries do not
+// overload each agent.
 inline constexpr std::size_t far_endpoints_per_model = 8;
 
-// Entries of the failure domain that look alive, in the order in which they
-// become watchers. The entry itself is always one of them.
+// Entries of the failure domain that appear alive, in the order in which they
+// become watchers. The calling entry is always included.
 std::vector<std::string> entry_order(
     membership const& members,
     std::string const& failure_domain,
@@ -52,30 +56,30 @@
     std::string const& name,
     std::size_t count);
 
-// Entries that the agent sends its heartbeats to; the first one reports it to
-// the others.
+// Entries that receive the agent's heartbeats; the first reports the agent's
+// state to the other entries.
 std::vector<std::string>
 listeners_of(std::vector<std::string> const& order, std::string const& agent);
 
-// Whom to push a change to in the tree that its seed gives; another seed puts
-// others at the root, so that the load moves round.
+// Entries that this one pushes a change to, in the tree determined by the seed.
+// Different seeds give different roots, which spreads the load.
 std::vector<std::string> push_children(
     std::vector<std::string> order,
     std::string const& self,
     std::uint64_t seed);
 
-// The root of that tree.
+// The root of the tree determined by the seed.
 std::string
 push_root(std::vector<std::string> const& order, std::uint64_t seed);
 
-// Entries of another failure domain to exchange digests with: its likely
-// watchers, at most the count.
+// Entries of another failure domain to exchange digests with: at most `count`
+// of them, those that are most likely its watchers.
 std::vector<std::string> contacts_in(
     membership const& members,
     std::string const& failure_domain,
     std::size_t count);
 
-// Agents of other failure domains that this entry may send work to.
+// Agents of other failure domains that this entry may send requests to.
 std::vector<std::string> remote_endpoints(
     membership const& members,
     std::map<std::string, domain_plan> const& plans,
--- a/libs/control/src/call_budget.cpp
+++ b/libs/control/src/call_budget.cpp
@@ -27,12 +27,12 @@
         budget.failures = 0;
         return std::chrono::milliseconds(0);
     }
-    constexpr std::uint32_t most_doublings = 10;
-    auto const doublings = std::min(budget.failures, most_doublings);
+    constexpr std::uint32_t max_doublings = 10;
+    auto const doublings = std::min(budget.failures, max_doublings);
     ++budget.failures;
-    auto const whole =
+    auto const backoff =
         std::min(longest_pause, shortest_pause * (1U << doublings));
-    auto const half = static_cast<std::uint64_t>(whole.count()) / 2;
+    auto const half = static_cast<std::uint64_t>(backoff.count()) / 2;
     return std::chrono::milliseconds(
         half + base::random_below(random, half + 1));
 }
--- a/libs/control/src/lease.cpp
+++ b/libs/control/src/lease.cpp
@@ -45,7 +45,8 @@
     {
         return true;
     }
-    // Version zero: the object is not there, nobody has ever held the lease.
+    // Version zero means that the object does not exist: the lease was never
+    // held.
     if (state.seen && state.version == 0)
     {
         return true;
@@ -54,12 +55,12 @@
 }
 
 void lease_taken(
-    lease_state& state, std::uint64_t version, base::time_point asked)
+    lease_state& state, std::uint64_t version, base::time_point sent_at)
 {
     state.seen = true;
     state.version = version;
-    state.seen_since = asked;
-    state.held_until = asked + lease_length;
+    state.seen_since = sent_at;
+    state.held_until = sent_at + lease_length;
 }
 
 void lease_refused(lease_state& state)
--- a/libs/control/src/membership.cpp
+++ b/libs/control/src/membership.cpp
@@ -32,9 +32,9 @@
 {
     auto const [place, added] = state.members.try_emplace(vm.name);
     auto& known = place->second;
-    // Failure: a VM is replaced and its name given to another one. What was
-    // heard of the first, a farewell or heartbeats, says nothing of the
-    // second; the address tells them apart.
+    // Failure: a VM is replaced and its name is given to another VM. Heartbeats
+    // or a leave notice of the old VM say nothing about the new one; the
+    // address tells the two apart.
     if (added || known.vm.address != vm.address)
     {
         known = {};
@@ -176,7 +176,8 @@
     known.state = known.vm.leaving ? liveness::leaving : reported;
 }
 
-bool may_hold_replicas(member const& known, bool held_before, base::time_point now)
+bool may_hold_replicas(
+    member const& known, bool held_before, base::time_point now)
 {
     switch (known.state)
     {
@@ -191,14 +192,15 @@
     return held_before && now - known.absent_since < replica_move_delay;
 }
 
-std::vector<std::string> suspect_unresponsive(membership& state, base::time_point now)
+std::vector<std::string>
+suspect_unresponsive(membership& state, base::time_point now)
 {
     std::vector<std::string> suspects;
     for (auto& [name, known] : state.members)
     {
-        auto const silent =
+        auto const is_overdue =
             known.heard_directly && now - known.heard > known.patience;
-        if (known.state == liveness::alive && silent)
+        if (known.state == liveness::alive && is_overdue)
         {
             known.state = liveness::suspected;
             known.absent_since = now;
--- a/libs/control/src/plan.cpp
+++ b/libs/control/src/plan.cpp
@@ -13,7 +13,7 @@
 
 using nlohmann::json;
 
-constexpr std::uint64_t largest_version = 1ULL << 62U;
+constexpr std::uint64_t max_version = 1ULL << 62U;
 
 json endpoint_json(plan_endpoint const& endpoint)
 {
@@ -35,9 +35,10 @@
     endpoint.address = reader.text("address");
     for (std::size_t index = 0; index < reader.size("models"); ++index)
     {
-        auto entry = reader.element("models", index);
-        endpoint.models.push_back({entry.text("model"), entry.text("digest")});
-        entry.finish();
+        auto model_reader = reader.element("models", index);
+        endpoint.models.push_back(
+            {model_reader.text("model"), model_reader.text("digest")});
+        model_reader.finish();
     }
     reader.finish();
     return endpoint;
@@ -93,8 +94,8 @@
     domain_plan plan;
     plan.failure_domain = reader.text("failure_domain");
     plan.region = reader.text("region");
-    plan.version = reader.number("version", 0, largest_version);
-    plan.generation = reader.number("generation", 0, largest_version);
+    plan.version = reader.number("version", 0, max_version);
+    plan.generation = reader.number("generation", 0, max_version);
     for (std::size_t index = 0; index < reader.size("endpoints"); ++index)
     {
         plan.endpoints.push_back(
--- a/libs/control/src/planner.cpp
+++ b/libs/control/src/planner.cpp
@@ -8,96 +8,104 @@
 namespace
 {
 
-// An endpoint while the plan is being made.
-struct slot
+// An endpoint during planning.
+struct planned_endpoint
 {
     plan_endpoint endpoint;
     std::uint32_t memory_mib = 0;
     std::uint32_t used_mib = 0;
-    // What the endpoint holds under the previous plan, by model name.
-    std::vector<assigned_model> before;
+    // Models assigned to the endpoint by the previous plan.
+    std::vector<assigned_model> previous_models;
 };
 
-std::vector<slot>
-make_slots(std::vector<plan_member> members, domain_plan const& previous)
+std::vector<planned_endpoint> make_planned_endpoints(
+    std::vector<plan_member> members, domain_plan const& previous)
 {
     std::ranges::sort(members, {}, &plan_member::agent);
-    std::vector<slot> slots;
+    std::vector<planned_endpoint> planned;
     for (auto& member : members)
     {
-        slot entry;
-        entry.endpoint.agent = std::move(member.agent);
-        entry.endpoint.address = std::move(member.address);
-        entry.memory_mib = member.memory_mib;
-        if (auto const* const old = find_agent(previous, entry.endpoint.agent))
+        planned_endpoint candidate;
+        candidate.endpoint.agent = std::move(member.agent);
+        candidate.endpoint.address = std::move(member.address);
+        candidate.memory_mib = member.memory_mib;
+        if (auto const* const previous_endpoint =
+                find_agent(previous, candidate.endpoint.agent))
         {
-            entry.before = old->models;
+            candidate.previous_models = previous_endpoint->models;
         }
-        slots.push_back(std::move(entry));
+        planned.push_back(std::move(candidate));
     }
-    return slots;
+    return planned;
 }
 
-bool held_before(slot const& entry, std::string const& model)
+bool held_before(planned_endpoint const& candidate, std::string const& model)
 {
-    return std::ranges::find(entry.before, model, &assigned_model::model) !=
-           entry.before.end();
+    return std::ranges::find(
+               candidate.previous_models, model, &assigned_model::model) !=
+           candidate.previous_models.end();
 }
 
-bool fits(slot const& entry, release::model_release const& model)
+bool fits(
+    planned_endpoint const& candidate, release::model_release const& model)
 {
-    return entry.used_mib + model.memory_mib <= entry.memory_mib;
+    return candidate.used_mib + model.memory_mib <= candidate.memory_mib;
 }
 
 void assign(
-    slot& entry, std::string const& name, release::model_release const& model)
+    planned_endpoint& candidate,
+    std::string const& name,
+    release::model_release const& model)
 {
-    entry.endpoint.models.push_back({name, model.digest});
-    entry.used_mib += model.memory_mib;
+    candidate.endpoint.models.push_back({name, model.digest});
+    candidate.used_mib += model.memory_mib;
 }
 
-// Leaves the model where it is, as often as it is still wanted; returns how
-// many replicas are missing after that.
-std::uint32_t keep(
-    std::vector<slot>& slots,
+// Keeps the model on the endpoints that have it, up to the requested number of
+// replicas; returns how many replicas are still missing.
+std::uint32_t keep_replicas(
+    std::vector<planned_endpoint>& planned,
     std::string const& name,
     release::model_release const& model,
     std::uint32_t wanted)
 {
-    for (auto& entry : slots)
+    for (auto& candidate : planned)
     {
-        if (wanted > 0 && held_before(entry, name) && fits(entry, model))
+        if (wanted > 0 && held_before(candidate, name) &&
+            fits(candidate, model))
         {
-            assign(entry, name, model);
+            assign(candidate, name, model);
             --wanted;
         }
     }
     return wanted;
 }
 
-bool holds(slot const& entry, std::string const& model)
+bool holds(planned_endpoint const& candidate, std::string const& model)
 {
     return std::ranges::find(
-               entry.endpoint.models, model, &assigned_model::model) !=
-           entry.endpoint.models.end();
+               candidate.endpoint.models, model, &assigned_model::model) !=
+           candidate.endpoint.models.end();
 }
 
-// Puts missing replicas on the endpoints with the least memory in use.
-void add(
-    std::vector<slot>& slots,
+// Assigns missing replicas to the endpoints with the least memory in use.
+void add_replicas(
+    std::vector<planned_endpoint>& planned,
     std::string const& name,
     release::model_release const& model,
     std::uint32_t missing)
 {
     for (; missing > 0; --missing)
     {
-        slot* best = nullptr;
-        for (auto& entry : slots)
+        planned_endpoint* best = nullptr;
+        for (auto& candidate : planned)
         {
-            auto const usable = !holds(entry, name) && fits(entry, model);
-            if (usable && (best == nullptr || entry.used_mib < best->used_mib))
+            auto const usable =
+                !holds(candidate, name) && fits(candidate, model);
+            if (usable &&
+                (best == nullptr || candidate.used_mib < best->used_mib))
             {
-                best = &entry;
+                best = &candidate;
             }
         }
         if (best == nullptr)
@@ -116,21 +124,21 @@
     std::vector<plan_member> members,
     domain_plan const& previous)
 {
-    auto slots = make_slots(std::move(members), previous);
-    // All models are kept before any is added: an added replica must not take
-    // the room of one that is already there.
+    auto planned = make_planned_endpoints(std::move(members), previous);
+    // Keep the replicas of all models before adding any: an added replica must
+    // not take the memory of one that is already in place.
     std::map<std::string, std::uint32_t> missing;
     for (auto const& [name, model] : configuration.models)
     {
         auto const wanted = model.replicas.find(failure_domain);
         if (wanted != model.replicas.end())
         {
-            missing[name] = keep(slots, name, model, wanted->second);
+            missing[name] = keep_replicas(planned, name, model, wanted->second);
         }
     }
     for (auto const& [name, count] : missing)
     {
-        add(slots, name, configuration.models.at(name), count);
+        add_replicas(planned, name, configuration.models.at(name), count);
     }
     domain_plan plan;
     plan.failure_domain = failure_domain;
@@ -141,10 +149,10 @@
     {
         plan.region = domain->second.region;
     }
-    for (auto& entry : slots)
+    for (auto& candidate : planned)
     {
-        std::ranges::sort(entry.endpoint.models);
-        plan.endpoints.push_back(std::move(entry.endpoint));
+        std::ranges::sort(candidate.endpoint.models);
+        plan.endpoints.push_back(std::move(candidate.endpoint));
     }
     return plan;
 }
--- a/libs/control/src/topology.cpp
+++ b/libs/control/src/topology.cpp
@@ -28,7 +28,8 @@
     }
 }
 
-// An entry that was listed just now has had no time to speak.
+// A newly listed entry counts as alive until its first heartbeat would be
+// overdue.
 bool looks_alive(member const& entry, base::time_point now)
 {
     return entry.state == liveness::alive ||
@@ -36,8 +37,8 @@
             now - entry.heard <= entry.patience);
 }
 
-// Agents of a failure domain by what they are listed for: those in its plan by
-// each model, all others together.
+// Agents of a failure domain, grouped by model for those in the domain's plan,
+// and with all plain services in one group.
 std::map<std::string, std::vector<std::string>> group_agents(
     membership const& members,
     domain_plan const& plan,
--- a/libs/control/tests/lease_tests.cpp
+++ b/libs/control/tests/lease_tests.cpp
@@ -7,10 +7,10 @@
 
 using std::chrono::milliseconds;
 
-// The holder is paused past its lease and wakes. A second planner has taken
-// over meanwhile. Obeying both would order two different plans; the first must
-// see by its own clock alone that its time is over.
-TEST(lease, a_paused_holder_knows_that_its_lease_lapsed)
+// A lease holder is paused beyond its lease and resumes after a second planner
+// has taken over. Both would issue plans; the first must conclude from its own
+// clock that its lease has expired.
+TEST(lease, a_paused_holder_knows_that_its_lease_expired)
 {
     base::time_point const start{};
     lease_state holder{.self = "a"};
--- a/libs/control/tests/membership_tests.cpp
+++ b/libs/control/tests/membership_tests.cpp
@@ -7,9 +7,9 @@
 
 using std::chrono::milliseconds;
 
-// A VM dies without a word while the platform's list still shows it. New work
-// must stop once its heartbeats have been missing, and resume when it is back.
-TEST(membership, silence_is_suspected_and_a_heartbeat_clears_it)
+// A VM dies without notice while the platform's list still contains it. New
+// work must stop once its heartbeats are missing, and resume when they return.
+TEST(membership, missing_heartbeats_are_suspected_until_the_next_one)
 {
     membership state;
     base::time_point const start{};
--- a/libs/control/tests/planner_tests.cpp
+++ b/libs/control/tests/planner_tests.cpp
@@ -40,8 +40,9 @@
     EXPECT_EQ(parse_plan(to_text(plan)).value(), plan);
 }
 
-// A VM dies. Callers would wait for weights to move to endpoints that had
-// others if the planner began anew; only the lost replicas may move.
+// A VM dies. If the planner started from scratch, replicas would move between
+// healthy endpoints and callers would wait for their weights; only the lost
+// replicas may move.
 TEST(planner, moves_only_what_was_lost)
 {
     auto const before = make_plan(two_models(), "split-a", three_members(), {});
