--- a/libs/weights/include/weights/chunk_store.hpp
+++ b/libs/weights/include/weights/chunk_store.hpp
@@ -13,7 +13,7 @@
 namespace foxtailvale::weights
 {
 
-// Bytes of one verified chunk, shared by the store and whoever sends them.
+// Bytes of one verified chunk, shared between the store and running uploads.
 using chunk_data = std::shared_ptr<std::string const>;
 
 // One version in the store.
@@ -21,13 +21,13 @@
 {
     manifest description;
     std::string manifest_text;
-    // Empty where the chunk is not there yet.
+    // Null for chunks that are missing.
     std::vector<chunk_data> chunks;
     std::uint32_t held = 0;
 };
 
-// Verified chunks of the versions that an agent holds, bounded in bytes. The
-// process has no disk; what it restarts with is nothing.
+// Verified chunks of the versions that an agent holds, bounded by size. The
+// store is in memory only and empty after a restart.
 struct chunk_store
 {
     std::uint64_t capacity_bytes = 0;
@@ -35,26 +35,28 @@
     std::map<std::string, stored_version> versions;
 };
 
-// Makes room for a version; platform_refused when it does not fit.
+// Reserves space for a version; platform_refused when it does not fit.
 base::result<void>
 add_version(chunk_store& store, std::string const& digest, std::string text);
 
-// Verifies a chunk and keeps it; bad_digest when it is not what the manifest
-// names. Nothing that fails here is ever served or loaded.
+// Verifies a chunk and stores it; bad_digest when it does not match the
+// manifest, not_found for an unknown version or index. A chunk that fails
+// verification is never sent to others or loaded.
 base::result<void> put_chunk(
     chunk_store& store,
     std::string const& digest,
     std::uint32_t index,
     std::string bytes);
 
-// The chunk, or nothing while it is not there.
+// The chunk, or null while it is missing.
 chunk_data find_chunk(
     chunk_store const& store, std::string const& digest, std::uint32_t index);
 
-// Whether all chunks are there: only then may the engine be ordered to load.
+// Whether all chunks are present. Only then may the engine be told to load the
+// version.
 bool is_complete(chunk_store const& store, std::string const& digest);
 
-// Drops a version and frees its bytes.
+// Removes a version and releases its space.
 void remove_version(chunk_store& store, std::string const& digest);
 
 } // namespace foxtailvale::weights
--- a/libs/weights/include/weights/chunk_transfer.hpp
+++ b/libs/weights/include/weights/chunk_transfer.hpp
@@ -13,101 +13,105 @@
 #include <utility>
 #include <vector>
 
-// One agent's way from nothing to all chunks of a version: which chunk it asks
-// whom for next, and what it makes of what comes.
+// Transfer of one version's chunks to one agent: which missing chunk to request
+// next from which source, and how to handle responses.
 namespace foxtailvale::weights
 {
 
-// A chunk that was asked for and has not come.
-struct chunk_pending
+// A chunk that was requested and has not arrived.
+struct pending_chunk
 {
     chunk_source source;
-    base::time_point asked;
-    // Asked of one that draws the chunk before this agent does, whose turn has
-    // come too.
-    bool stands_in = false;
+    base::time_point requested_at;
+    // The request went to an agent whose turn to fetch the chunk from the
+    // origin comes before this agent's, after this agent's turn had come too.
+    bool asks_earlier_fetcher = false;
 };
 
-// In what agents tell each other of a chunk, one character each.
+// State of a chunk in the summaries that agents exchange, one character per
+// chunk.
 inline constexpr char chunk_missing = '0';
 inline constexpr char chunk_held = '1';
-// The agent draws it from the origin now or next, and the origin has not failed
-// it.
-inline constexpr char chunk_drawn = '2';
+// The agent fetches the chunk from the origin now or next, and its last fetch
+// from the origin did not fail.
+inline constexpr char chunk_fetching = '2';
 
-// Whether a drawer lives, as last asked.
-struct drawer_check
+// Result of the last liveness check of an origin fetcher.
+struct fetcher_check
 {
-    base::time_point asked;
+    base::time_point checked_at;
     bool is_pending = false;
-    bool is_silent = false;
+    bool is_unresponsive = false;
 };
 
-struct said_holdings
+struct reported_holdings
 {
     chunk_source source;
     std::string marks;
-    base::time_point said;
+    base::time_point reported_at;
 };
 
 struct chunk_transfer
 {
     // SHA-256 of each chunk.
     std::vector<std::string> digests;
-    // Verified bytes; null where a chunk is missing.
+    // Verified bytes; null for chunks that are missing.
     std::vector<chunk_data> chunks;
     std::uint32_t held = 0;
     base::time_point begun;
-    std::map<std::uint32_t, chunk_pending> pending;
-    // What other agents last said they hold.
-    std::map<std::string, said_holdings> holdings;
-    // Drawers that were asked whether they live, by name.
-    std::map<std::string, drawer_check> checks;
-    // Agents that said that they do not have a chunk, until when that counts.
+    std::map<std::uint32_t, pending_chunk> pending;
+    // Chunk summaries last received from other agents, by agent name.
+    std::map<std::string, reported_holdings> holdings;
+    // Liveness checks of origin fetchers, by agent name.
+    std::map<std::string, fetcher_check> checks;
+    // Agents that responded that they do not have a chunk, and until when that
+    // response counts.
     std::map<std::pair<std::uint32_t, std::string>, base::time_point> declined;
 };
 
-// Who asks.
+// The agent that requests chunks, and what it needs to know to find sources.
 struct transfer_requester
 {
     std::string failure_domain;
     std::string agent;
-    // The digest under which the plans list the version's holders.
+    // The digest under which the plans list the version.
     std::string label;
-    // Agents beside engines that serve the version, those of the own failure
-    // domain alone if there are any. They hold every chunk, so whoever comes
-    // later asks them and neither waits for others that have just come nor
-    // draws from the origin.
+    // Agents beside engines that serve the version; only those of the agent's
+    // own failure domain if there are any. They hold every chunk, so an agent
+    // that is added later requests chunks from them, and neither waits for
+    // other new agents nor fetches from the origin.
     std::vector<chunk_source> holders;
 };
 
-// What may be under way at one time. An agent that does not have a chunk yet
-// keeps the question until it has, so many are asked for at once: each chunk
-// then passes through a row of agents without a pause at any of them. Senders
-// send one chunk after the other, so asking early fills no link.
+// Limits on concurrent requests. An agent that does not have a chunk yet holds
+// the request until it does, so many chunks are requested at once: a chunk then
+// moves along a chain of agents without a pause at any of them. Senders send
+// one chunk after the other, so early requests do not congest a link.
 struct transfer_limits
 {
-    // Questions to other agents. Draws from the origin do not count: a chunk
-    // that nobody has drawn yet holds up all agents, not this one alone.
+    // Requests to other agents. Fetches from the origin do not count: a chunk
+    // that nobody has fetched yet delays all agents, not only this one.
     std::size_t total = 24;
     std::size_t per_agent = 8;
-    // Draws from the origin: one hides no other's round trip of a few
-    // milliseconds, and the fetchers fill its link together.
+    // Fetches from the origin. One is enough: overlapping fetches would only
+    // hide a round trip of a few milliseconds, and the fetchers together
+    // saturate the origin's link.
     std::size_t origin = 1;
 };
 
 struct wanted_chunk
 {
     std::uint32_t index = 0;
-    // The origin when its agent is empty.
+    // The origin when the agent name is empty.
     chunk_source source;
-    // Agents that wait for the chunk behind this one; whoever is asked serves
-    // those first behind whom most wait.
+    // Agents below this one in the chunk's tree. A source serves the request
+    // with the most waiting agents first.
     std::size_t behind = 0;
 };
 
-// Begins with what another transfer holds: a chunk that did not change between
-// two versions is not fetched again.
+// `begin` starts a transfer without any chunks. `reuse` copies the chunks that
+// another transfer holds: a chunk that did not change between two versions is
+// not fetched again.
 void begin(
     chunk_transfer& state,
     std::vector<std::string> digests,
@@ -116,80 +120,85 @@
 
 bool is_complete(chunk_transfer const& state);
 
-// What this agent holds and draws, in the form of `holdings`.
+// The chunks that this agent holds or fetches from the origin, in the format of
+// `holdings`.
 std::string holdings_of(
     chunk_transfer const& state,
     origin_fetch_schedule const& schedule,
     std::string const& agent,
     bool origin_fails);
 
-// Another agent said what it holds. Failure: agents end in the middle of a
-// burst and the trees change; a chunk that some hold is asked of those before
-// in its tree, who wait for it themselves, and nobody asks the ones that have
-// it.
+// Records another agent's chunk summary. Failure: agents die in the middle of a
+// burst and the trees change. Without summaries a chunk that some agents hold
+// is requested from its ancestors in the tree, which still wait for it
+// themselves, and never from the agents that have it.
 void note_holdings(
     chunk_transfer& state,
     chunk_source const& agent,
     std::string marks,
     base::time_point now);
 
-// Drawers to be asked now whether they live, each noted as asked. Those who
-// stand in ask a moment after a chunk's slot when it has not come. Failure: two
-// fetchers ended within a second of a naming, who stood in found out after a
-// second and more for each chunk, and the origin died before.
+// Origin fetchers whose liveness has to be checked now; each is recorded as
+// being checked. Substitutes check shortly after the time slot of a chunk that
+// has not arrived. Failure: two fetchers died within a second of an
+// announcement; without checks the substitutes took more than a second for each
+// chunk to notice, and the origin died before they had fetched the chunks.
 std::vector<chunk_source> next_liveness_checks(
     chunk_transfer& state,
     plan_set const& plans,
-    transfer_requester const& place,
+    transfer_requester const& requester,
     origin_fetch_schedule const& schedule,
     base::time_point now);
 
-// How long a drawer that lives may take for its answer.
+// Time that a live fetcher has to answer a liveness check.
 inline constexpr std::chrono::milliseconds liveness_check_timeout{250};
 
-// The drawer answered or did not. If not, the next in turn draws its chunks.
-void note_liveness_check(chunk_transfer& state, std::string const& drawer, bool lives);
+// Records the result of a liveness check. When the fetcher did not answer, the
+// next one in turn fetches its chunks.
+void note_liveness_check(
+    chunk_transfer& state, std::string const& fetcher, bool is_alive);
 
-// Chunks to ask for now, each noted as pending.
+// Chunks to request now; each is recorded as pending.
 std::vector<wanted_chunk> next_chunk_requests(
     chunk_transfer& state,
-    source_table& book,
+    source_table& table,
     plan_set const& plans,
-    transfer_requester const& place,
+    transfer_requester const& requester,
     origin_fetch_schedule const& schedule,
     transfer_limits const& limits,
     base::time_point now);
 
-// Takes bytes that were found somewhere, not asked for; false when they are
-// not that chunk.
+// Stores bytes that were obtained without a request; returns false when they do
+// not match the chunk's digest.
 bool offer(chunk_transfer& state, std::uint32_t index, std::string_view bytes);
 
-// Takes what a source sent. Failure: chunks arrive corrupted; what does not
-// match its digest is dropped, its source is avoided and another is asked.
+// Stores the response of a source; returns false when it does not match the
+// chunk's digest. Failure: a chunk arrives corrupted. The bytes are dropped,
+// the source is avoided for a while and the chunk is requested again elsewhere.
 bool deliver(
     chunk_transfer& state,
-    source_table& book,
+    source_table& table,
     std::uint32_t index,
     std::string bytes,
     base::time_point now);
 
-// Forgets a question for a chunk that has come another way meanwhile.
-void withdraw(chunk_transfer& state, source_table& book, std::uint32_t index);
+// Cancels the request for a chunk that arrived by other means.
+void withdraw(chunk_transfer& state, source_table& table, std::uint32_t index);
 
 enum class chunk_loss
 {
-    // The agent does not have it and does not expect it.
+    // The source does not have the chunk and does not expect it.
     missing,
-    // The agent is about to have it.
+    // The source does not have the chunk yet but expects it.
     not_yet,
-    // The source did not answer or failed.
+    // The source did not respond or returned an error.
     failed,
 };
 
-// A chunk that was asked for will not come from there.
+// Records that a request for a chunk failed.
 void lose(
     chunk_transfer& state,
-    source_table& book,
+    source_table& table,
     std::uint32_t index,
     chunk_loss why,
     base::time_point now);
--- a/libs/weights/include/weights/forest.hpp
+++ b/libs/weights/include/weights/forest.hpp
@@ -15,56 +15,61 @@
 namespace foxtailvale::weights
 {
 
-// Plans by failure domain, as far as an agent knows them.
+// Plans by failure domain, as far as they are known to an agent.
 using plan_set = std::map<std::string, control::domain_plan>;
 
-// One source that a chunk may be asked from.
+// A source that a chunk may be requested from.
 struct chunk_source
 {
-    // Name and peer address of an agent; both empty for the origin.
+    // Name and peer address of an agent; both are empty for the origin.
     std::string agent;
     std::string address;
 
     bool operator==(chunk_source const&) const = default;
 };
 
-// An agent's place in a chunk's tree and whom it may ask. All agents compute
-// the same from the same plans:
+// An agent's position in the distribution tree of a chunk, and the agents it
+// may request the chunk from. Each chunk has a tree of its own. All agents
+// compute the same trees from the same plans:
 //
-// - Within a failure domain the agents that want the version stand in order
-//   of name, rotated by a stride per chunk. The first of them imports the
-//   chunk; the others form a binary tree below it. Rotating rather than
-//   hashing gives each agent the inner places equally often, so the load of
-//   uploading evens out at one copy each.
-// - The region's domains stand in order too: the importer of the first draws
-//   the chunk from the origin, the importers of the others from it.
+// - Within a failure domain, the agents that need the version are sorted by
+//   name and rotated by a stride per chunk. The first agent is the chunk's
+//   importer; the others form a binary tree below it. Rotation, unlike hashing,
+//   gives each agent the inner positions equally often, so that uploads even
+//   out at one copy per agent.
+// - The failure domains of a region are ordered too: the importer of the first
+//   domain fetches the chunk from the origin, and the importers of the other
+//   domains get it from that importer.
 //
-// An agent asks only agents that stand before it, in its domain or in a domain
-// before its own, so agents that wait for each other never form a circle.
+// An agent requests chunks only from agents that precede it, in its own domain
+// or in a preceding domain, so agents that wait for each other never form a
+// cycle.
 struct chunk_sources
 {
-    // Place in the domain's order of this chunk; zero imports it.
+    // Position in the domain's order for this chunk; the agent at position zero
+    // is the importer.
     std::size_t place = 0;
-    // Agents of the domain that wait behind this one in the chunk's tree.
+    // Agents of the domain that are below this one in the chunk's tree.
     std::size_t behind = 0;
     // The parent, its parent and so on up to the importer.
     std::vector<chunk_source> ancestors;
-    // Others that stand before the agent, in order.
+    // Other agents that precede this one, in order.
     std::vector<chunk_source> standbys;
-    // Importers, and those who would take their place, of the region's domains
-    // that stand before the own one.
+    // Importers, and the agents next in line to replace them, of the region's
+    // domains that precede the agent's own domain.
     std::vector<chunk_source> outside;
-    // A domain that stands before the own one is expected to want the version,
+    // A domain that precedes the agent's own is expected to need the version,
     // but its plan is not known yet.
     bool incomplete = false;
 };
 
-// Nothing when the plans do not give the version to the agent. The expected
-// domains are those of the agent's region that want the version according to
-// the release: they keep their places in the order while their plans, which
-// come by way of other domains' entries, are still on their way. A root that is
-// given stands first in its domain and its domain before all others: it is the
-// agent that draws the chunk from the origin.
+// The agent's possible sources of a chunk; nothing when the plans do not assign
+// the version to the agent. `expected` holds the domains of the agent's region
+// that need the version according to the release: they keep their positions in
+// the order even while their plans, which arrive through entries of other
+// domains, are still unknown. If `root` is given, that agent comes first in its
+// domain and its domain before all others: it is the agent that fetches the
+// chunk from the origin.
 std::optional<chunk_sources> sources_of(
     plan_set const& plans,
     std::string const& failure_domain,
@@ -74,25 +79,27 @@
     std::set<std::string> const& expected = {},
     std::string const& root = {});
 
-// What an agent knows of a source with regard to one chunk.
+// What an agent knows about the possible sources of one chunk.
 struct source_view
 {
-    // Answers in time as far as is known, and did not decline this chunk.
+    // Whether the agent responds in time, as far as known, and has not declined
+    // this chunk.
     std::function<bool(std::string const& agent)> is_usable;
-    // Agents of the own domain that said that they hold the chunk.
+    // Agents that reported that they hold the chunk.
     std::vector<chunk_source> known_holders;
 };
 
-// The best source by this order: parent and ancestors, a known holder, others
-// that stand before the agent, importers outside its domain, the origin. The
-// origin (an empty source) comes up only when nobody that stands before the
-// agent can be used: that order, the same for all, is what keeps the whole
-// fleet from turning to the origin at once.
+// The first usable source, in this order: the parent and its ancestors, a known
+// holder, other agents that precede this one, importers of other domains, the
+// origin. The origin (an empty source) is chosen only when no preceding agent
+// can be used. Since the order is the same for all agents, the fleet does not
+// fall back to the origin all at once.
 chunk_source
 choose_source(chunk_sources const& sources, source_view const& view);
 
-// Two other agents of the domain that want the version, next in order of
-// name: whom to ask for the manifest and for what they hold.
+// The two agents that follow this one, by name, among those of its domain that
+// need the version. The agent requests the manifest and chunk summaries from
+// them.
 std::vector<chunk_source> neighbours_of(
     plan_set const& plans,
     std::string const& failure_domain,
--- a/libs/weights/include/weights/manifest.hpp
+++ b/libs/weights/include/weights/manifest.hpp
@@ -11,13 +11,13 @@
 namespace foxtailvale::weights
 {
 
-// What a version's weights consist of. The SHA-256 of the manifest's text
-// names the version.
+// Describes the weights of a version. A version is identified by the SHA-256 of
+// its manifest's text.
 struct manifest
 {
-    // Size of every chunk but the last, in bytes.
+    // Size of every chunk except the last, in bytes.
     std::uint32_t chunk_bytes = 0;
-    // Size of the whole, in bytes.
+    // Size of all chunks together, in bytes.
     std::uint64_t total_bytes = 0;
     // SHA-256 of each chunk, in order.
     std::vector<std::string> chunks;
@@ -25,18 +25,17 @@
     bool operator==(manifest const&) const = default;
 };
 
-// Describes the given weights.
+// Splits the weights into chunks and computes their digests.
 manifest describe_weights(std::string_view bytes, std::uint32_t chunk_bytes);
 
-// The form that is stored, sent and hashed.
+// Serialises the manifest; this is the text that is stored, sent and hashed.
 std::string to_text(manifest const& value);
 
-// Reads a manifest and checks it against the digest that it was asked for by;
-// bad_digest when it is another or makes no sense.
+// Parses a manifest and verifies it against its digest; bad_digest when the
+// digest does not match or the contents are inconsistent.
 base::result<manifest>
 parse_manifest(std::string const& text, std::string const& digest);
 
-// Size of one chunk in bytes.
 std::uint32_t chunk_size(manifest const& value, std::uint32_t index);
 
 } // namespace foxtailvale::weights
--- a/libs/weights/include/weights/receive_window.hpp
+++ b/libs/weights/include/weights/receive_window.hpp
@@ -1,5 +1,5 @@
-#ifndef FOXTAILVALE_WEIGHTS_RECEIVE_LINE_HPP
-#define FOXTAILVALE_WEIGHTS_RECEIVE_LINE_HPP
+#ifndef FOXTAILVALE_WEIGHTS_RECEIVE_WINDOW_HPP
+#define FOXTAILVALE_WEIGHTS_RECEIVE_WINDOW_HPP
 
 #include <base/ids.hpp>
 
@@ -12,21 +12,25 @@
 namespace foxtailvale::weights
 {
 
-// Chunks that are on their way to an agent from others. Made for links that
-// engines' live requests share: three chunks fill a link without a pause, and a
-// request stands behind them for 100 ms at most on a link of 7.6 Mbit/s. One
-// that takes long does not count as one of the three while chunks from others
-// come fast: it waits at a squeezed link elsewhere and fills nothing here.
+// Limits how many chunks an agent fetches from other agents at a time, on links
+// that are shared with live requests to engines. Three chunks keep a link busy
+// without a pause and delay a request by at most 100 ms on a link of 7.6
+// Mbit/s. A fetch that takes long does not count as one of the three while
+// chunks from other agents arrive fast: it is held up at the sender by a
+// squeezed link, that is, one with a fraction of its usual bandwidth, and does
+// not fill the agent's own link.
 //
 // Failure: one machine in five had a squeezed link. Sooner or later all three
 // places of an agent were taken by chunks from such machines, for two seconds
-// and more each time, and added engines were filled after ten seconds.
+// and more each time, and added engines got their weights only after ten
+// seconds.
 //
-// That chunks from others come fast is proven by one that came after the slow
-// one was begun; until then one more is tried at a time. Failure: the own link
-// was squeezed to a twentieth, the fast chunks of the two seconds before let
-// ten more fill it for seven seconds, and requests behind them reached the
-// engine after their callers had left.
+// Chunks count as arriving fast from others only if one arrived after the slow
+// fetch began; until then, one extra fetch at a time is tried. Failure: the
+// agent's own link was squeezed to a twentieth. Because chunks had arrived fast
+// in the two seconds before, ten more fetches filled the link for seven
+// seconds, and requests behind them reached the engine after their callers had
+// disconnected.
 struct receive_window
 {
     struct fetch
@@ -34,33 +38,37 @@
         std::string agent;
         base::time_point begun;
     };
-    // By a number that the fetch was given.
+    // Running fetches by number, as returned by begin_fetch.
     std::map<std::uint64_t, fetch> running;
     std::uint64_t next_number = 0;
-    // When a chunk last came at the speed of an unharmed link, by source.
+    // When a chunk last arrived at the speed of an unimpaired link, by source.
     std::map<std::string, base::time_point> last_fast;
-    // No chunk is fetched before then: the own link is squeezed.
+    // No fetch begins before this time, because the agent's own link is
+    // squeezed.
     base::time_point not_before;
-    // It is squeezed until a chunk comes fast; one is fetched at a time.
+    // The agent's own link is squeezed, and fetches run one at a time until a
+    // chunk arrives fast.
     bool squeezed = false;
 };
 
-// Whether one more chunk may be fetched.
-bool may_fetch(receive_window const& line, base::time_point now);
+// Whether another fetch may begin.
+bool may_fetch(receive_window const& window, base::time_point now);
 
-// Begins a fetch from this agent; the number names it.
-std::uint64_t
-begin_fetch(receive_window& line, std::string const& agent, base::time_point now);
+// Records the start of a fetch from this agent and returns its number.
+std::uint64_t begin_fetch(
+    receive_window& window, std::string const& agent, base::time_point now);
 
-// Ends the fetch. When it was slow and nothing comes fast from others, the own
-// link is squeezed: as much time passes before the next one, so that requests
-// to the engine have half of the link.
-void end_fetch(receive_window& line, std::uint64_t number, base::time_point now);
+// Records the end of a fetch. If it was slow and no chunk arrives fast from
+// other agents, the agent's own link is squeezed: the next fetch begins only
+// after a pause as long as this fetch, so that requests to the engine get half
+// of the link.
+void end_fetch(
+    receive_window& window, std::uint64_t number, base::time_point now);
 
-// Fetches that take long while chunks come fast from others: the source's link
-// is squeezed, and the same chunk comes sooner from elsewhere.
+// Fetches that take long while chunks arrive fast from other agents: the
+// source's link is squeezed, and the chunk arrives sooner from another source.
 std::vector<std::uint64_t>
-squeezed_fetches(receive_window const& line, base::time_point now);
+squeezed_fetches(receive_window const& window, base::time_point now);
 
 } // namespace foxtailvale::weights
 
--- a/libs/weights/include/weights/send_window.hpp
+++ b/libs/weights/include/weights/send_window.hpp
@@ -1,5 +1,5 @@
-#ifndef FOXTAILVALE_WEIGHTS_SEND_LINE_HPP
-#define FOXTAILVALE_WEIGHTS_SEND_LINE_HPP
+#ifndef FOXTAILVALE_WEIGHTS_SEND_WINDOW_HPP
+#define FOXTAILVALE_WEIGHTS_SEND_WINDOW_HPP
 
 #include <base/ids.hpp>
 
@@ -9,34 +9,34 @@
 namespace foxtailvale::weights
 {
 
-// Chunks that an agent has promised to others and not sent yet. Made for many
-// that come for chunks at once: 36 engines are added, and all of their agents
-// ask the agents of those that serve. A chunk is promised only while so few are
-// outstanding that it is sent within 150 ms; the others ask
-// elsewhere or wait, and no link stands idle.
+// Limits how many chunks an agent has promised to other agents and not sent
+// yet. When 36 engines are added, all of their agents request chunks at once
+// from the agents beside serving engines. A chunk is promised only while so few
+// are outstanding that it is sent within 150 ms; other requesters use another
+// source or wait, and no link is idle.
 //
-// Failure: with every question answered yes, a dozen chunks stood in line at
-// one agent. Who waited for them took its link for a squeezed one and avoided
-// it for up to half a minute, one after the other, until nobody was left to
-// ask: added engines were filled in ten seconds instead of three.
+// Failure: when every request was accepted, a dozen chunks queued up at one
+// agent. The requesters took its link for a squeezed one and avoided the agent
+// for up to half a minute, one after the other, until no source was left: added
+// engines got their weights in ten seconds instead of three.
 struct send_window
 {
-    // Promises that nobody has called in yet, oldest first.
+    // Promises whose chunk has not been requested yet, oldest first.
     std::deque<base::time_point> promised;
-    // Called in and waiting for the link.
+    // Requested chunks that wait for the link.
     std::size_t waiting = 0;
 };
 
-// Whether one more chunk may be promised.
-bool may_promise(send_window const& line, base::time_point now);
+// Whether another chunk may be promised.
+bool may_promise(send_window const& window, base::time_point now);
 
-void note_promised(send_window& line, base::time_point now);
+void note_promised(send_window& window, base::time_point now);
 
-// A chunk was asked for, promised before or not.
-void note_fetch_requested(send_window& line, base::time_point now);
+// Records a request for a chunk, whether or not it was promised before.
+void note_fetch_requested(send_window& window, base::time_point now);
 
-// One that was asked for was sent or is not wanted any more.
-void note_left(send_window& line);
+// Records that a requested chunk was sent or is no longer wanted.
+void note_left(send_window& window);
 
 } // namespace foxtailvale::weights
 
--- a/libs/weights/include/weights/source_table.hpp
+++ b/libs/weights/include/weights/source_table.hpp
@@ -1,5 +1,5 @@
-#ifndef FOXTAILVALE_WEIGHTS_SOURCE_BOOK_HPP
-#define FOXTAILVALE_WEIGHTS_SOURCE_BOOK_HPP
+#ifndef FOXTAILVALE_WEIGHTS_SOURCE_TABLE_HPP
+#define FOXTAILVALE_WEIGHTS_SOURCE_TABLE_HPP
 
 #include <base/ids.hpp>
 
@@ -12,99 +12,108 @@
 namespace foxtailvale::weights
 {
 
-// What an agent has learned about another as a source of chunks.
+// What an agent knows about another agent, or the origin, as a source of
+// chunks.
 struct source_record
 {
-    // Chunks asked for and neither come nor given up.
+    // Requested chunks that have neither arrived nor been abandoned.
     std::uint32_t outstanding = 0;
-    // Whether anything came since it was asked with nothing outstanding.
+    // Whether the source sent anything since the first of the outstanding
+    // requests.
     bool answers = false;
     base::time_point last_heard;
-    // Not asked before then.
+    // The source is not used before this time.
     base::time_point avoid_until;
-    // Since when every frame to it failed; unset while they pass.
+    // Since when all frames to the source have failed; valid while
+    // `unreachable` is set.
     base::time_point unreachable_since;
     bool unreachable = false;
-    // Failures since its last good chunk.
-    std::uint32_t strikes = 0;
-    // Smoothed rate at which its chunks came; zero before the first.
+    // Failures since its last valid chunk.
+    std::uint32_t failures = 0;
+    // Exponentially smoothed transfer rate; zero before the first chunk.
     double bytes_per_second = 0;
 };
 
-// All sources by agent name, shared by all transfers of one agent.
+// All sources by agent name (empty for the origin), shared by all transfers of
+// one agent.
 struct source_table
 {
     std::map<std::string, source_record> sources;
-    // When one was last found silent.
-    std::optional<base::time_point> last_silence;
+    // When a source was last found to be unresponsive.
+    std::optional<base::time_point> last_unresponsive;
 };
 
-// Chunks that may be outstanding at one source: enough to keep a link busy
-// over a round trip, few enough that a source that dies takes few with it.
-inline constexpr std::uint32_t most_outstanding = 8;
+// Limit of outstanding chunks per source: enough to keep a link busy over a
+// round trip, and few enough that a source that dies takes few with it.
+inline constexpr std::uint32_t max_outstanding = 8;
 
-// Whether the source may be asked for one more chunk.
-bool has_room(source_table const& book, std::string const& agent);
+// Whether another chunk may be requested from the source.
+bool has_room(source_table const& table, std::string const& agent);
 
-// Whether the source is not being avoided.
+// Whether the source is not being avoided at this time.
 bool is_usable(
-    source_table const& book, std::string const& agent, base::time_point now);
+    source_table const& table, std::string const& agent, base::time_point now);
 
 void note_requested(
-    source_table& book, std::string const& agent, base::time_point now);
+    source_table& table, std::string const& agent, base::time_point now);
 
-// A frame of any kind came from the source.
+// Records that a frame of any kind was received from the source.
 void note_heard(
-    source_table& book, std::string const& agent, base::time_point now);
+    source_table& table, std::string const& agent, base::time_point now);
 
-// A chunk that was asked for is no longer awaited there.
-void note_dropped(source_table& book, std::string const& agent);
+// Records that an outstanding request to the source ended or was abandoned.
+void note_dropped(source_table& table, std::string const& agent);
 
-// A good chunk of this size came after this time.
+// Records that a valid chunk of this size arrived after this time.
 void note_delivered(
-    source_table& book,
+    source_table& table,
     std::string const& agent,
     std::uint32_t bytes,
     std::chrono::nanoseconds took);
 
-// A frame could not be sent; true when the source is to be given up. A
-// connection that is only being made fails for a moment too.
+// Records that a frame could not be sent; returns true when the source should
+// be abandoned. Frames also fail for a moment while a connection is being
+// established.
 bool note_unreachable(
-    source_table& book, std::string const& agent, base::time_point now);
+    source_table& table, std::string const& agent, base::time_point now);
 
-// The source is silent: avoided, and others that do not answer are given up
-// sooner for a while.
+// Records that the source is unresponsive: it is avoided, and for a while other
+// sources that have not responded are abandoned sooner.
 void note_unresponsive(
-    source_table& book, std::string const& agent, base::time_point now);
-
-// The source failed: avoided for a time that doubles with each failure.
-void avoid_after_failure(source_table& book, std::string const& agent, base::time_point now);
-
-// The source failed and is asked again soon: avoided for a fraction of a second
-// that doubles up to one and a half. Made for a fleet whose versions must be in
-// use within seconds, where an origin that was away for six seconds must not be
-// avoided for ten more. Failures of several chunks at once count as one.
+    source_table& table, std::string const& agent, base::time_point now);
+
+// Records a failure of the source: it is avoided for a time that doubles with
+// each failure.
+void avoid_after_failure(
+    source_table& table, std::string const& agent, base::time_point now);
+
+// Records a failure of a source that is to be retried soon: it is avoided for a
+// fraction of a second, which doubles with each failure up to one and a half
+// seconds. Versions must be in use within seconds, so an origin that was away
+// for six seconds must not be avoided for ten more. Failures of several chunks
+// at once count as one.
 void avoid_briefly(
-    source_table& book, std::string const& agent, base::time_point now);
+    source_table& table, std::string const& agent, base::time_point now);
 
-// Failures of the source since its last good chunk.
-std::uint32_t failures_of(source_table const& book, std::string const& agent);
+// Failures of the source since its last valid chunk.
+std::uint32_t failures_of(source_table const& table, std::string const& agent);
 
-// The source sent bytes that are not the chunk: avoided for minutes.
-void blame(source_table& book, std::string const& agent, base::time_point now);
+// Records that the source sent corrupted bytes: it is avoided for minutes.
+void blame(source_table& table, std::string const& agent, base::time_point now);
 
-// Chunks are outstanding and nothing at all has come for too long. A live
-// source that still waits for a chunk itself says so twice a second.
-// Failure: a rack goes and one dead source after the other is tried. Soon
-// after one fell silent, another that has not answered at all is given up
-// much sooner, so that a chunk's way past many dead stays short.
+// Whether chunks are outstanding at the source and nothing has been received
+// from it for too long. A live source that still waits for a chunk itself
+// reports that twice a second. Failure: a rack fails, and its dead agents are
+// tried one after the other. Soon after one source was found to be
+// unresponsive, another that has not responded at all is abandoned much sooner,
+// so that a chunk is not held up for long by many dead agents.
 bool is_silent(
-    source_table const& book, std::string const& agent, base::time_point now);
+    source_table const& table, std::string const& agent, base::time_point now);
 
-// How long a chunk that the source holds may take, from its measured rate and
-// what else is outstanding there.
+// Time-out of a chunk that the source holds, from the source's measured rate
+// and the other chunks outstanding there.
 std::chrono::milliseconds delivery_timeout(
-    source_table const& book, std::string const& agent, std::uint32_t bytes);
+    source_table const& table, std::string const& agent, std::uint32_t bytes);
 
 } // namespace foxtailvale::weights
 
--- a/libs/weights/src/chunk_store.cpp
+++ b/libs/weights/src/chunk_store.cpp
@@ -43,9 +43,10 @@
     {
         return boost::outcome_v2::success();
     }
-    // Failure: a chunk arrives corrupted. It would show as wrong answers from
-    // partial weights; comparing every chunk with the manifest before it is
-    // kept holds because the manifest itself is named by its digest.
+    // Failure: a chunk arrives corrupted. The engine would load it and give
+    // wrong answers. Comparing every chunk with the manifest before it is
+    // stored prevents this, since the manifest itself is identified by its
+    // digest.
     if (base::sha256_hex(bytes) != version.description.chunks[index])
     {
         return base::fail(
--- a/libs/weights/src/chunk_transfer.cpp
+++ b/libs/weights/src/chunk_transfer.cpp
@@ -11,45 +11,51 @@
 namespace
 {
 
-// How long "I do not have it" counts; a chunk travels a hop in a fraction.
-constexpr std::chrono::milliseconds declined_time{600};
-
-// How long an agent that waits itself is passed over: the one before it in the
-// tree is asked meanwhile, which keeps a question for half a second, and then
-// it is asked again. Failure: with two seconds, agents that had waited for the
-// origin through an outage asked far up the trees when the chunks came at last,
-// and each went its way through the fleet two seconds late.
-constexpr std::chrono::milliseconds waiting_time{700};
-
-// How long it counts that another agent draws a chunk: what one draw takes when
-// all fetchers draw at once, three times over.
-constexpr std::chrono::milliseconds said_time{1000};
-
-// Draws that an agent announces: the one under way and the next. Those behind
-// are left to whoever stands in.
-constexpr std::size_t most_announced = 2;
-
-// After a chunk's slot, when it has not come to the first who stands in, this
-// one asks whether the drawer lives; each later one as long after the one
-// before it.
-constexpr std::chrono::milliseconds check_time{400};
-
-// So many stand in early; with more gone the usual turns hold.
-constexpr std::size_t most_checking = 2;
-
-// A drawer is asked again after this, and one that was silent counts as gone
-// for so long.
-constexpr std::chrono::milliseconds check_again{400};
-constexpr std::chrono::milliseconds gone_time{2000};
-
-// A chunk has usually come to every agent by then.
-constexpr std::chrono::milliseconds usual_time{2500};
-
-// Others answer within half a second, also when they have nothing.
-constexpr std::chrono::milliseconds silent_time{800};
-
-// An agent that knows nobody draws for itself after this.
-constexpr std::chrono::milliseconds alone_time{3000};
+// How long the response "I do not have it" counts. A chunk takes only a
+// fraction of this per hop.
+constexpr std::chrono::milliseconds declined_lifetime{600};
+
+// How long an agent that still waits for the chunk itself is passed over. The
+// agent before it in the tree is asked meanwhile; it holds a request for half a
+// second, and then the first agent is asked again. Failure: with two seconds,
+// agents that had waited for the origin through an outage sent their requests
+// far up the trees by the time the chunks arrived, and each chunk went through
+// the fleet two seconds late.
+constexpr std::chrono::milliseconds waiting_source_pause{700};
+
+// How long another agent's report that it fetches a chunk counts: three times
+// as long as one fetch takes when all fetchers fetch at once.
+constexpr std::chrono::milliseconds reported_fetch_lifetime{1000};
+
+// Fetches from the origin that an agent announces: the running one and the
+// next. Later ones are left to its substitutes.
+constexpr std::size_t max_announced = 2;
+
+// When a chunk has not arrived this long after its time slot, the first
+// substitute checks whether the fetcher is alive; each later substitute does so
+// as long after the one before it.
+constexpr std::chrono::milliseconds liveness_check_delay{400};
+
+// Number of substitutes that step in early. When more fetchers are gone, the
+// usual turns apply.
+constexpr std::size_t max_early_substitutes = 2;
+
+// Interval between liveness checks of a fetcher, and how long one that did not
+// answer counts as unresponsive.
+constexpr std::chrono::milliseconds liveness_check_interval{400};
+constexpr std::chrono::milliseconds unresponsive_lifetime{2000};
+
+// A chunk has usually reached every agent after this time.
+constexpr std::chrono::milliseconds usual_transfer_time{2500};
+
+// Other agents respond within half a second, also when they do not have the
+// chunk. No response for longer than this means that an agent is dead or cut
+// off.
+constexpr std::chrono::milliseconds max_response_time{800};
+
+// An agent that is not in the schedule fetches from the origin itself after
+// this time.
+constexpr std::chrono::milliseconds unscheduled_fetch_delay{3000};
 
 std::size_t pending_at(chunk_transfer const& state, std::string const& agent)
 {
@@ -71,18 +77,20 @@
     return found != state.declined.end() && found->second > now;
 }
 
-// All other agents of the plans, for when those in the trees cannot be used:
-// any of them may hold the chunk. The order differs by agent and chunk, so that
-// not all ask the same one.
-std::vector<chunk_source>
-others(plan_set const& plans, transfer_requester const& place, std::uint32_t index)
+// All other agents in the plans, used when no agent in the trees is usable: any
+// of them may hold the chunk. The order differs by agent and chunk, so that
+// requests do not all go to the same agent.
+std::vector<chunk_source> other_agents(
+    plan_set const& plans,
+    transfer_requester const& requester,
+    std::uint32_t index)
 {
     std::vector<chunk_source> found;
     for (auto const& [domain, plan] : plans)
     {
         for (auto const& endpoint : plan.endpoints)
         {
-            if (endpoint.agent != place.agent)
+            if (endpoint.agent != requester.agent)
             {
                 found.push_back({endpoint.agent, endpoint.address});
             }
@@ -90,7 +98,8 @@
     }
     if (!found.empty())
     {
-        auto const first = base::stable_hash(place.agent, index) % found.size();
+        auto const first =
+            base::stable_hash(requester.agent, index) % found.size();
         std::rotate(
             found.begin(), found.begin() + static_cast<std::ptrdiff_t>(first),
             found.end());
@@ -99,7 +108,7 @@
 }
 
 std::optional<chunk_source>
-source_named(plan_set const& plans, std::string const& agent)
+source_by_name(plan_set const& plans, std::string const& agent)
 {
     for (auto const& [domain, plan] : plans)
     {
@@ -113,19 +122,19 @@
     return std::nullopt;
 }
 
-// Agents that said that they hold the chunk, in an order of its own for each
-// chunk so that they are asked by turns.
+// Usable agents that reported that they hold the chunk, rotated by chunk so
+// that requests alternate between them.
 std::vector<chunk_source> known_holders(
     chunk_transfer const& state, std::uint32_t index, source_view const& view)
 {
     std::vector<chunk_source> found;
-    for (auto const& [agent, said] : state.holdings)
+    for (auto const& [agent, report] : state.holdings)
     {
-        auto const& marks = said.marks;
+        auto const& marks = report.marks;
         if (index < marks.size() && marks[index] == chunk_held &&
             view.is_usable(agent))
         {
-            found.push_back(said.source);
+            found.push_back(report.source);
         }
     }
     if (!found.empty())
@@ -138,26 +147,26 @@
     return found;
 }
 
-// The usable holder with the fewest chunks asked for, taken in another order
-// for each chunk and agent.
-std::optional<chunk_source> free_holder(
+// The usable holder with the fewest pending requests; ties are broken by an
+// order that differs by chunk and agent.
+std::optional<chunk_source> least_busy_holder(
     chunk_transfer const& state,
-    transfer_requester const& place,
+    transfer_requester const& requester,
     std::uint32_t index,
     source_view const& view)
 {
     std::optional<chunk_source> best;
     auto fewest = std::numeric_limits<std::size_t>::max();
-    auto const count = place.holders.size();
-    auto const first = base::stable_hash(place.agent, index);
+    auto const count = requester.holders.size();
+    auto const first = base::stable_hash(requester.agent, index);
     for (std::size_t step = 0; step < count; ++step)
     {
-        auto const& holder = place.holders[(first + step) % count];
-        auto const asked = pending_at(state, holder.agent);
-        if (asked < fewest && view.is_usable(holder.agent))
+        auto const& holder = requester.holders[(first + step) % count];
+        auto const pending = pending_at(state, holder.agent);
+        if (pending < fewest && view.is_usable(holder.agent))
         {
             best = holder;
-            fewest = asked;
+            fewest = pending;
         }
     }
     return best;
@@ -168,89 +177,92 @@
     std::string const& agent,
     transfer_limits const& limits)
 {
-    auto const most = agent.empty() ? limits.origin : limits.per_agent;
-    return pending_at(state, agent) < most;
+    auto const max_pending = agent.empty() ? limits.origin : limits.per_agent;
+    return pending_at(state, agent) < max_pending;
 }
 
-// One look at all missing chunks.
-struct asking
+// State of one pass over all missing chunks.
+struct request_pass
 {
     chunk_transfer& state;
-    source_table& book;
+    source_table& table;
     plan_set const& plans;
-    transfer_requester const& place;
+    transfer_requester const& requester;
     origin_fetch_schedule const& schedule;
     transfer_limits const& limits;
     base::time_point now;
 };
 
-// What became of one chunk's search for a source.
+// Result of the search for a source of one chunk.
 struct found_source
 {
     std::optional<chunk_source> source;
     std::size_t behind = 0;
-    bool stands_in = false;
-    // The chunk may be drawn from the origin now; of several the one with the
-    // lowest turn goes first.
-    std::optional<std::size_t> draw_turn;
+    bool asks_earlier_fetcher = false;
+    // Set when the chunk may be fetched from the origin now. Of several such
+    // chunks, those with the lowest turn are fetched first.
+    std::optional<std::size_t> fetch_turn;
 };
 
-bool is_gone(
+bool was_unresponsive(
     chunk_transfer const& state,
-    std::string const& drawer,
+    std::string const& fetcher,
     base::time_point now)
 {
-    auto const found = state.checks.find(drawer);
-    return found != state.checks.end() && found->second.is_silent &&
-           now < found->second.asked + gone_time;
+    auto const found = state.checks.find(fetcher);
+    return found != state.checks.end() && found->second.is_unresponsive &&
+           now < found->second.checked_at + unresponsive_lifetime;
 }
 
-// Whether all who draw the chunk before this agent were found silent.
-bool all_gone(asking const& look, std::uint32_t index, std::size_t turn)
+// Whether all agents that fetch the chunk before this one were found to be
+// unresponsive.
+bool were_all_unresponsive(
+    request_pass const& pass, std::uint32_t index, std::size_t turn)
 {
     return std::ranges::all_of(
-        earlier_fetchers(look.schedule, turn, index),
-        [&look](std::string const& drawer)
+        earlier_fetchers(pass.schedule, turn, index),
+        [&pass](std::string const& fetcher)
         {
-            return is_gone(look.state, drawer, look.now);
+            return was_unresponsive(pass.state, fetcher, pass.now);
         });
 }
 
-// Whether one that draws before this agent said a moment ago that it does, or
-// that it has the chunk.
-bool is_left_to(
-    asking const& look, std::string const& drawer, std::uint32_t index)
+// Whether an agent that fetches the chunk before this one reported recently
+// that it fetches or holds the chunk.
+bool is_fetching_or_holding(
+    request_pass const& pass, std::string const& fetcher, std::uint32_t index)
 {
-    auto const found = look.state.holdings.find(drawer);
-    if (found == look.state.holdings.end())
+    auto const found = pass.state.holdings.find(fetcher);
+    if (found == pass.state.holdings.end())
     {
         return false;
     }
-    auto const& [source, marks, said] = found->second;
-    return look.now < said + said_time && index < marks.size() &&
-           marks[index] != chunk_missing;
+    auto const& [source, marks, reported_at] = found->second;
+    return pass.now < reported_at + reported_fetch_lifetime &&
+           index < marks.size() && marks[index] != chunk_missing;
 }
 
-// The source of a chunk whose turn has come at this agent: those before it are
-// asked once more, and when none of them has it, it is drawn.
+// The source of a chunk whose turn has come at this agent. The fetchers with an
+// earlier turn are asked once more; when none of them has the chunk, it is
+// fetched from the origin.
 found_source source_in_turn(
-    asking const& look,
+    request_pass const& pass,
     source_view const& view,
     std::uint32_t index,
     std::size_t turn)
 {
-    for (auto const& drawer : earlier_fetchers(look.schedule, turn, index))
+    for (auto const& fetcher : earlier_fetchers(pass.schedule, turn, index))
     {
-        if (is_gone(look.state, drawer, look.now))
+        if (was_unresponsive(pass.state, fetcher, pass.now))
         {
             continue;
         }
-        auto const source = source_named(look.plans, drawer);
-        if (source && view.is_usable(drawer))
+        auto const source = source_by_name(pass.plans, fetcher);
+        if (source && view.is_usable(fetcher))
         {
             return {source, 0, true, {}};
         }
-        if (is_left_to(look, drawer, index))
+        if (is_fetching_or_holding(pass, fetcher, index))
         {
             return {};
         }
@@ -258,42 +270,45 @@
     return {{}, 0, false, turn};
 }
 
-// The agent's own turn at the chunk, if it has come.
-std::optional<std::size_t> turn_now(asking const& look, std::uint32_t index)
-{
-    auto const begun = look.state.begun;
-    auto const turn = turn_of(look.schedule, look.place.agent, index);
-    auto const stands_alone =
-        turn && *turn <= most_checking && all_gone(look, index, *turn);
-    auto const due = stands_alone ? origin_fetch_time(look.schedule, 0, index, begun)
-                     : turn       ? origin_fetch_time(look.schedule, *turn, index, begun)
-                                  : begun + alone_time;
-    if (look.now < due || !is_usable(look.book, {}, look.now))
+// The turn of this agent at the chunk, if its time has come.
+std::optional<std::size_t>
+due_turn(request_pass const& pass, std::uint32_t index)
+{
+    auto const begun = pass.state.begun;
+    auto const turn = turn_of(pass.schedule, pass.requester.agent, index);
+    auto const replaces_fetcher = turn && *turn <= max_early_substitutes &&
+                                  were_all_unresponsive(pass, index, *turn);
+    auto const due =
+        replaces_fetcher ? origin_fetch_time(pass.schedule, 0, index, begun)
+        : turn           ? origin_fetch_time(pass.schedule, *turn, index, begun)
+                         : begun + unscheduled_fetch_delay;
+    if (pass.now < due || !is_usable(pass.table, {}, pass.now))
     {
         return std::nullopt;
     }
     return turn.value_or(0);
 }
 
-// Others that may have drawn the chunk by now in its drawer's place, put before
-// whoever else stands before the agent. Failure: the drawer is cut off from the
-// origin or dead; one that stood in has the chunk, and everybody waits for the
-// drawer or looks for the chunk at random.
-void put_later_drawers(
-    asking const& look, chunk_sources& sources, std::uint32_t index)
+// Puts agents that may have fetched the chunk in place of its fetcher before
+// all other standbys. Failure: the fetcher is cut off from the origin or dead.
+// A substitute has the chunk, but all other agents wait for the fetcher or
+// request the chunk from random agents.
+void prefer_substitutes(
+    request_pass const& pass, chunk_sources& sources, std::uint32_t index)
 {
     auto const fetchers =
-        earlier_fetchers(look.schedule, look.schedule.fetchers, index);
+        earlier_fetchers(pass.schedule, pass.schedule.fetchers, index);
     std::vector<chunk_source> found;
     for (std::size_t turn = 1; turn < fetchers.size(); ++turn)
     {
-        auto const due = origin_fetch_time(look.schedule, turn, index, look.state.begun);
-        if (look.now < due)
+        auto const due =
+            origin_fetch_time(pass.schedule, turn, index, pass.state.begun);
+        if (pass.now < due)
         {
             break;
         }
-        if (auto const source = source_named(look.plans, fetchers[turn]);
-            source && source->agent != look.place.agent)
+        if (auto const source = source_by_name(pass.plans, fetchers[turn]);
+            source && source->agent != pass.requester.agent)
         {
             found.push_back(*source);
         }
@@ -302,64 +317,68 @@
         sources.standbys.begin(), found.begin(), found.end());
 }
 
-// The first of those before this agent who is not known to be gone, if he is
-// to be asked now.
-std::optional<std::string> drawer_to_check(
+// The first fetcher before this agent that is not known to be unresponsive, if
+// it may be checked now.
+std::optional<std::string> fetcher_to_check(
     chunk_transfer const& state,
     origin_fetch_schedule const& schedule,
     std::uint32_t index,
     std::size_t turn,
     base::time_point now)
 {
-    for (auto const& drawer : earlier_fetchers(schedule, turn, index))
+    for (auto const& fetcher : earlier_fetchers(schedule, turn, index))
     {
-        if (is_gone(state, drawer, now))
+        if (was_unresponsive(state, fetcher, now))
         {
             continue;
         }
-        auto const found = state.checks.find(drawer);
-        auto const may_ask = found == state.checks.end() ||
-                             (!found->second.is_pending &&
-                              now >= found->second.asked + check_again);
-        return may_ask ? std::optional(drawer) : std::nullopt;
+        auto const found = state.checks.find(fetcher);
+        auto const may_ask =
+            found == state.checks.end() ||
+            (!found->second.is_pending &&
+             now >= found->second.checked_at + liveness_check_interval);
+        return may_ask ? std::optional(fetcher) : std::nullopt;
     }
     return std::nullopt;
 }
 
-found_source find_source(asking const& look, std::uint32_t index)
+found_source find_source(request_pass const& pass, std::uint32_t index)
 {
     auto sources = sources_of(
-        look.plans, look.place.failure_domain, look.place.agent,
-        look.place.label, index, {}, origin_fetcher_of(look.schedule, index));
+        pass.plans, pass.requester.failure_domain, pass.requester.agent,
+        pass.requester.label, index, {},
+        origin_fetcher_of(pass.schedule, index));
     if (sources)
     {
-        put_later_drawers(look, *sources, index);
+        prefer_substitutes(pass, *sources, index);
     }
     source_view view;
     view.is_usable = [&](std::string const& agent)
     {
-        return is_usable(look.book, agent, look.now) &&
-               !has_declined(look.state, index, agent, look.now);
+        return is_usable(pass.table, agent, pass.now) &&
+               !has_declined(pass.state, index, agent, pass.now);
     };
-    if (auto const holder = free_holder(look.state, look.place, index, view))
+    if (auto const holder =
+            least_busy_holder(pass.state, pass.requester, index, view))
     {
         return {holder, 0, false, {}};
     }
-    view.known_holders = known_holders(look.state, index, view);
-    auto const turn = turn_now(look, index);
+    view.known_holders = known_holders(pass.state, index, view);
+    auto const turn = due_turn(pass, index);
     if (turn && view.known_holders.empty())
     {
-        return source_in_turn(look, view, index, *turn);
+        return source_in_turn(pass, view, index, *turn);
     }
     auto const source = choose_source(sources.value_or(chunk_sources{}), view);
     if (!source.agent.empty())
     {
         return {source, sources ? sources->behind : 0, false, {}};
     }
-    // Nobody before it in the trees can be used.
-    if (look.now > look.state.begun + usual_time)
+    // No agent that precedes this one in the trees is usable.
+    if (pass.now > pass.state.begun + usual_transfer_time)
     {
-        for (auto const& other : others(look.plans, look.place, index))
+        for (auto const& other :
+             other_agents(pass.plans, pass.requester, index))
         {
             if (view.is_usable(other.agent))
             {
@@ -370,34 +389,35 @@
     return {};
 }
 
-wanted_chunk
-ask_of(asking const& look, std::uint32_t index, found_source const& found)
+wanted_chunk make_request(
+    request_pass const& pass, std::uint32_t index, found_source const& found)
 {
     auto const source = found.source.value_or(chunk_source{});
-    look.state.pending[index] = {source, look.now, found.stands_in};
-    note_requested(look.book, source.agent, look.now);
+    pass.state.pending[index] = {source, pass.now, found.asks_earlier_fetcher};
+    note_requested(pass.table, source.agent, pass.now);
     return {index, source, found.behind};
 }
 
-// Chunks that are neither here nor asked for, those that this agent is the
-// first to draw behind all others. Failure: while the origin was away, fetchers
-// asked each other for these, and when it was back, they drew later ones first,
-// which nobody was asking for yet.
-std::vector<std::uint32_t> missing_in_order(asking const& look)
+// Chunks that are neither held nor requested. Those that this agent itself is
+// first to fetch from the origin come last. Failure: while the origin was away,
+// fetchers requested these chunks from each other. When the origin was back,
+// they first fetched later chunks that no other agent was requesting yet.
+std::vector<std::uint32_t> missing_in_order(request_pass const& pass)
 {
     std::vector<std::uint32_t> found;
-    for (std::uint32_t index = 0; index < look.state.digests.size(); ++index)
+    for (std::uint32_t index = 0; index < pass.state.digests.size(); ++index)
     {
-        if (!look.state.chunks[index] && !look.state.pending.contains(index))
+        if (!pass.state.chunks[index] && !pass.state.pending.contains(index))
         {
             found.push_back(index);
         }
     }
     std::stable_partition(
         found.begin(), found.end(),
-        [&look](std::uint32_t index)
+        [&pass](std::uint32_t index)
         {
-            return origin_fetcher_of(look.schedule, index) != look.place.agent;
+            return origin_fetcher_of(pass.schedule, index) !=
+                   pass.requester.agent;
         });
     return found;
 }
@@ -425,11 +445,11 @@
         {
             continue;
         }
-        auto const place =
+        auto const position =
             static_cast<std::size_t>(same - other.digests.begin());
-        if (other.chunks[place])
+        if (other.chunks[position])
         {
-            state.chunks[index] = other.chunks[place];
+            state.chunks[index] = other.chunks[position];
             ++state.held;
         }
     }
@@ -445,13 +465,13 @@
     std::size_t announced = 0;
     for (std::uint32_t index = 0; index < state.chunks.size(); ++index)
     {
-        auto const draws = !origin_fails && !state.chunks[index] &&
-                           announced < most_announced &&
-                           turn_of(schedule, agent, index) == 0U;
-        announced += draws ? 1 : 0;
+        auto const fetches = !origin_fails && !state.chunks[index] &&
+                             announced < max_announced &&
+                             turn_of(schedule, agent, index) == 0U;
+        announced += fetches ? 1 : 0;
         text.push_back(
             state.chunks[index] ? chunk_held
-            : draws             ? chunk_drawn
+            : fetches           ? chunk_fetching
                                 : chunk_missing);
     }
     return text;
@@ -474,87 +494,90 @@
 std::vector<chunk_source> next_liveness_checks(
     chunk_transfer& state,
     plan_set const& plans,
-    transfer_requester const& place,
+    transfer_requester const& requester,
     origin_fetch_schedule const& schedule,
     base::time_point now)
 {
     std::vector<chunk_source> checks;
     for (std::uint32_t index = 0; index < state.digests.size(); ++index)
     {
-        auto const turn = turn_of(schedule, place.agent, index);
+        auto const turn = turn_of(schedule, requester.agent, index);
         if (state.chunks[index] || !turn || *turn == 0 ||
-            *turn > most_checking ||
+            *turn > max_early_substitutes ||
             now < origin_fetch_time(schedule, 0, index, state.begun) +
-                      check_time * static_cast<int>(*turn))
+                      liveness_check_delay * static_cast<int>(*turn))
         {
             continue;
         }
-        auto const drawer = drawer_to_check(state, schedule, index, *turn, now);
+        auto const fetcher =
+            fetcher_to_check(state, schedule, index, *turn, now);
         auto const source =
-            drawer ? source_named(plans, *drawer) : std::nullopt;
+            fetcher ? source_by_name(plans, *fetcher) : std::nullopt;
         if (source)
         {
-            state.checks[*drawer] = {now, true, false};
+            state.checks[*fetcher] = {now, true, false};
             checks.push_back(*source);
         }
     }
     return checks;
 }
 
-void note_liveness_check(chunk_transfer& state, std::string const& drawer, bool lives)
+void note_liveness_check(
+    chunk_transfer& state, std::string const& fetcher, bool is_alive)
 {
-    auto& check = state.checks[drawer];
+    auto& check = state.checks[fetcher];
     check.is_pending = false;
-    check.is_silent = !lives;
-    if (!lives)
+    check.is_unresponsive = !is_alive;
+    if (!is_alive)
     {
-        // What it said that it draws does not come.
-        state.holdings.erase(drawer);
+        // Chunks that it reported to be fetching will not arrive.
+        state.holdings.erase(fetcher);
     }
 }
 
 std::vector<wanted_chunk> next_chunk_requests(
     chunk_transfer& state,
-    source_table& book,
+    source_table& table,
     plan_set const& plans,
-    transfer_requester const& place,
+    transfer_requester const& requester,
     origin_fetch_schedule const& schedule,
     transfer_limits const& limits,
     base::time_point now)
 {
-    asking const look{state, book, plans, place, schedule, limits, now};
-    std::vector<wanted_chunk> asks;
-    std::vector<std::pair<std::size_t, std::uint32_t>> draws;
-    for (auto const index : missing_in_order(look))
+    request_pass const pass{state,    table,  plans, requester,
+                            schedule, limits, now};
+    std::vector<wanted_chunk> requests;
+    std::vector<std::pair<std::size_t, std::uint32_t>> fetches;
+    for (auto const index : missing_in_order(pass))
     {
         auto const is_full =
             state.pending.size() - pending_at(state, {}) >= limits.total;
-        if (is_full && !turn_now(look, index))
+        if (is_full && !due_turn(pass, index))
         {
             continue;
         }
-        auto const found = find_source(look, index);
-        if (found.draw_turn)
+        auto const found = find_source(pass, index);
+        if (found.fetch_turn)
         {
-            draws.emplace_back(*found.draw_turn, index);
+            fetches.emplace_back(*found.fetch_turn, index);
         }
         if (!found.source || is_full ||
             !has_room_at(state, found.source->agent, limits))
         {
             continue;
         }
-        asks.push_back(ask_of(look, index, found));
+        requests.push_back(make_request(pass, index, found));
     }
-    std::ranges::sort(draws);
-    for (auto const& [turn, index] : draws)
+    std::ranges::sort(fetches);
+    for (auto const& [turn, index] : fetches)
     {
         if (!has_room_at(state, {}, limits))
         {
             break;
         }
-        asks.push_back(ask_of(look, index, {}));
+        requests.push_back(make_request(pass, index, {}));
     }
-    return asks;
+    return requests;
 }
 
 bool offer(chunk_transfer& state, std::uint32_t index, std::string_view bytes)
@@ -574,7 +597,7 @@
 
 bool deliver(
     chunk_transfer& state,
-    source_table& book,
+    source_table& table,
     std::uint32_t index,
     std::string bytes,
     base::time_point now)
@@ -584,33 +607,33 @@
     {
         return offer(state, index, bytes);
     }
-    auto const asked = found->second;
+    auto const request = found->second;
     state.pending.erase(found);
     if (!offer(state, index, bytes))
     {
-        note_dropped(book, asked.source.agent);
-        avoid_briefly(book, asked.source.agent, now);
+        note_dropped(table, request.source.agent);
+        avoid_briefly(table, request.source.agent, now);
         return false;
     }
     note_delivered(
-        book, asked.source.agent, static_cast<std::uint32_t>(bytes.size()),
-        now - asked.asked);
+        table, request.source.agent, static_cast<std::uint32_t>(bytes.size()),
+        now - request.requested_at);
     return true;
 }
 
-void withdraw(chunk_transfer& state, source_table& book, std::uint32_t index)
+void withdraw(chunk_transfer& state, source_table& table, std::uint32_t index)
 {
     auto const found = state.pending.find(index);
     if (found != state.pending.end())
     {
-        note_dropped(book, found->second.source.agent);
+        note_dropped(table, found->second.source.agent);
         state.pending.erase(found);
     }
 }
 
 void lose(
     chunk_transfer& state,
-    source_table& book,
+    source_table& table,
     std::uint32_t index,
     chunk_loss why,
     base::time_point now)
@@ -621,34 +644,35 @@
         return;
     }
     auto const agent = found->second.source.agent;
-    auto const stands_in = found->second.stands_in;
-    auto const asked = found->second.asked;
+    auto const asks_earlier_fetcher = found->second.asks_earlier_fetcher;
+    auto const requested_at = found->second.requested_at;
     state.pending.erase(found);
-    note_dropped(book, agent);
+    note_dropped(table, agent);
     switch (why)
     {
     case chunk_loss::missing:
-        state.declined[{index, agent}] = now + declined_time;
+        state.declined[{index, agent}] = now + declined_lifetime;
         break;
     case chunk_loss::not_yet:
-        // It waits itself. When that lasts, it may stand behind a squeezed
-        // link: the ones before it in the tree may have the chunk already.
-        if (stands_in || now > state.begun + usual_time)
+        // The source still waits for the chunk itself. If that lasts, it may be
+        // behind a squeezed link; its ancestors in the tree may already have
+        // the chunk.
+        if (asks_earlier_fetcher || now > state.begun + usual_transfer_time)
         {
-            state.declined[{index, agent}] = now + waiting_time;
+            state.declined[{index, agent}] = now + waiting_source_pause;
         }
-        note_heard(book, agent, now);
+        note_heard(table, agent, now);
         break;
     case chunk_loss::failed:
-        // One that gave no answer at all is gone or cut off; each question to
-        // it costs as long again.
-        if (!agent.empty() && now - asked > silent_time)
+        // A source that did not respond at all is dead or cut off, and every
+        // further request to it would take as long to fail.
+        if (!agent.empty() && now - requested_at > max_response_time)
         {
-            avoid_after_failure(book, agent, now);
+            avoid_after_failure(table, agent, now);
         }
         else
         {
-            avoid_briefly(book, agent, now);
+            avoid_briefly(table, agent, now);
         }
         break;
     }
--- a/libs/weights/src/forest.cpp
+++ b/libs/weights/src/forest.cpp
@@ -11,23 +11,24 @@
 
 using ring = std::vector<control::plan_endpoint const*>;
 
-// Inner places of the tree: two children each, so that an inner agent's
-// upload link carries two copies of a chunk at the most.
+// Children per position of the tree. With two, an inner agent's upload link
+// carries at most two copies of a chunk.
 constexpr std::size_t fan_out = 2;
 
-// Standbys looked at beside the ancestors. When half of a domain's agents die
-// at once, that all of them and the ancestors are among the dead is rarer than
-// one chunk in two hundred, and each such chunk costs one draw more.
-constexpr std::size_t most_standbys = 8;
+// Standbys considered besides the ancestors. When half of a domain's agents die
+// at once, the chance that a chunk's ancestors and all eight standbys are among
+// the dead is below one in two hundred; each such chunk costs one extra fetch
+// from the origin.
+constexpr std::size_t max_standbys = 8;
 
-// Agents of another domain that its importer's place may fall to.
-constexpr std::size_t most_outside = 3;
+// Agents per preceding domain that may take the place of its importer.
+constexpr std::size_t max_outside = 3;
 
 constexpr std::size_t neighbour_count = 2;
 
-// Half the ring, moved up until it shares no factor with the ring's size:
-// each chunk's inner agents follow on the last chunk's, and over the chunks
-// every agent comes to every place.
+// Half of the ring's size, increased until it is coprime to the size. Each
+// chunk's inner positions then follow on those of the chunk before, and over
+// the chunks every agent takes every position.
 std::size_t stride_of(std::size_t size)
 {
     auto stride = std::max<std::size_t>(1, size / fan_out);
@@ -38,8 +39,8 @@
     return stride;
 }
 
-// Moves the root to the front; the order of the others stays.
-void put_first(ring& order, std::string const& root)
+// Moves the root to the front and keeps the order of the others.
+void move_to_front(ring& order, std::string const& root)
 {
     auto const found =
         std::ranges::find(order, root, &control::plan_endpoint::agent);
@@ -49,7 +50,7 @@
     }
 }
 
-// Agents of one domain in the chunk's order.
+// Agents of a domain, in the order for this chunk.
 ring chunk_order(
     control::domain_plan const& plan,
     std::string const& digest,
@@ -64,11 +65,11 @@
     auto const shift = (stride_of(order.size()) * chunk) % order.size();
     auto const middle = order.begin() + static_cast<std::ptrdiff_t>(shift);
     std::rotate(order.begin(), middle, order.end());
-    put_first(order, root);
+    move_to_front(order, root);
     return order;
 }
 
-// The domain that the root stands in; empty when none does.
+// The failure domain of the root; empty when no plan contains the root.
 std::string domain_of(plan_set const& plans, std::string const& root)
 {
     for (auto const& [name, plan] : plans)
@@ -89,23 +90,24 @@
     return {endpoint.agent, endpoint.address};
 }
 
-// Names of a region's domains that want the version, in the chunk's order.
+// Names of the region's failure domains that need the version, in the order for
+// this chunk.
 std::vector<std::string> domain_order(
     plan_set const& plans,
     std::string const& region,
     std::string const& digest,
     std::uint32_t chunk,
     std::string const& root,
-    std::set<std::string> wanting)
+    std::set<std::string> domain_names)
 {
     for (auto const& [name, plan] : plans)
     {
         if (plan.region == region && !control::holders(plan, digest).empty())
         {
-            wanting.insert(name);
+            domain_names.insert(name);
         }
     }
-    std::vector<std::string> domains(wanting.begin(), wanting.end());
+    std::vector<std::string> domains(domain_names.begin(), domain_names.end());
     if (!domains.empty())
     {
         auto const shift = chunk % domains.size();
@@ -121,7 +123,7 @@
     return domains;
 }
 
-// Agents below a place in a tree of so many.
+// Number of descendants of a position in a tree of the given size.
 std::size_t count_below(std::size_t place, std::size_t size)
 {
     std::size_t below = 0;
@@ -148,7 +150,7 @@
 void add_standbys(chunk_sources& sources, ring const& order)
 {
     for (std::size_t place = 0;
-         place < sources.place && sources.standbys.size() < most_standbys;
+         place < sources.place && sources.standbys.size() < max_standbys;
          ++place)
     {
         auto const standby = source_for(*order[place]);
@@ -181,7 +183,7 @@
                                ? ring{}
                                : chunk_order(plan->second, digest, chunk, root);
         sources.incomplete = sources.incomplete || order.empty();
-        auto const count = std::min(order.size(), most_outside);
+        auto const count = std::min(order.size(), max_outside);
         for (std::size_t place = 0; place < count; ++place)
         {
             sources.outside.push_back(source_for(*order[place]));
--- a/libs/weights/src/manifest.cpp
+++ b/libs/weights/src/manifest.cpp
@@ -13,10 +13,10 @@
 namespace
 {
 
-constexpr std::uint64_t most_chunk_bytes = 64U * 1024U * 1024U;
-constexpr std::uint64_t most_total_bytes = 1ULL << 42U;
+constexpr std::uint64_t max_chunk_bytes = 64U * 1024U * 1024U;
+constexpr std::uint64_t max_total_bytes = 1ULL << 42U;
 
-bool makes_sense(manifest const& value)
+bool has_expected_chunk_count(manifest const& value)
 {
     auto const chunks =
         (value.total_bytes + value.chunk_bytes - 1) / value.chunk_bytes;
@@ -29,9 +29,10 @@
 {
     assert(chunk_bytes > 0);
     manifest value{chunk_bytes, bytes.size(), {}};
-    for (std::size_t at = 0; at < bytes.size(); at += chunk_bytes)
+    for (std::size_t offset = 0; offset < bytes.size(); offset += chunk_bytes)
     {
-        value.chunks.push_back(base::sha256_hex(bytes.substr(at, chunk_bytes)));
+        value.chunks.push_back(
+            base::sha256_hex(bytes.substr(offset, chunk_bytes)));
     }
     return value;
 }
@@ -57,11 +58,11 @@
     release::object_reader reader(source, "", faults);
     manifest value;
     value.chunk_bytes = static_cast<std::uint32_t>(
-        reader.number("chunk_bytes", 1, most_chunk_bytes));
-    value.total_bytes = reader.number("total_bytes", 1, most_total_bytes);
+        reader.number("chunk_bytes", 1, max_chunk_bytes));
+    value.total_bytes = reader.number("total_bytes", 1, max_total_bytes);
     value.chunks = reader.texts_or_empty("chunks");
     reader.finish();
-    if (!faults.empty() || !makes_sense(value))
+    if (!faults.empty() || !has_expected_chunk_count(value))
     {
         return base::fail(
             base::error_kind::bad_digest,
--- a/libs/weights/src/origin_pace.cpp
+++ b/libs/weights/src/origin_pace.cpp
@@ -10,42 +10,44 @@
 
 using std::chrono::milliseconds;
 
-// Draws of one agent at once: the second hides the first one's round trip.
-constexpr std::uint32_t most_running = 2;
+// Concurrent fetches of one agent from the origin: the second hides the round
+// trip of the first.
+constexpr std::uint32_t max_running = 2;
 
-// Earlier chunks of the region that may be missing. 2 MiB in chunks of 256 KiB
-// fill a link of 20 Mbit/s for most of a second, which covers a chunk's way
-// through the tree; more would only make all of them late.
-constexpr std::uint32_t most_missing = 8;
+// Limit of preceding chunks of the region that may be missing. 2 MiB in chunks
+// of 256 KiB fill a link of 20 Mbit/s for most of a second, which covers a
+// chunk's way through the tree; a higher limit would only delay all chunks.
+constexpr std::uint32_t max_missing = 8;
 
-// When no chunk has come for this long, those before are taken to be stuck
-// with importers that are gone, and the next ones go ahead.
-constexpr milliseconds stuck_limit{1500};
+// When no chunk has arrived for this long, the missing chunks are assumed to be
+// stuck at importers that are gone, and later chunks proceed.
+constexpr milliseconds stall_limit{1500};
 
 constexpr milliseconds first_pause{500};
-constexpr std::uint32_t most_doublings = 6;
-constexpr std::uint32_t most_doublings_refused = 2;
-constexpr std::uint32_t most_failures = 3;
+constexpr std::uint32_t max_doublings = 6;
+constexpr std::uint32_t max_doublings_refused = 2;
+constexpr std::uint32_t max_failures = 3;
 
-// An agent that draws in another's place tries the origin again after this.
-constexpr milliseconds suspicion_time{30'000};
+// After this time an agent that fetches in place of another tries the origin
+// again.
+constexpr milliseconds suspicion_lifetime{30'000};
 
 } // namespace
 
 bool may_fetch_from_origin(
-    origin_pace const& pace, import_slot const& turn, base::time_point now)
+    origin_pace const& pace, import_slot const& wanted, base::time_point now)
 {
-    if (now < pace.not_before || pace.running >= most_running ||
+    if (now < pace.not_before || pace.running >= max_running ||
         (pace.failures_in_a_row > 0 && pace.running > 0))
     {
         return false;
     }
-    if (!turn.in_turn)
+    if (!wanted.in_turn)
     {
         return true;
     }
-    if (turn.missing_before >= most_missing &&
-        now - turn.last_chunk < stuck_limit)
+    if (wanted.missing_before >= max_missing &&
+        now - wanted.last_chunk < stall_limit)
     {
         return false;
     }
@@ -53,11 +55,11 @@
     {
         return true;
     }
-    std::chrono::duration<double> const slot(
-        static_cast<double>(turn.chunk_bytes) * turn.transfers /
+    std::chrono::duration<double> const slot_time(
+        static_cast<double>(wanted.chunk_bytes) * wanted.transfers /
         pace.bytes_per_second);
-    std::chrono::duration<double> const passed = now - turn.started;
-    return passed >= turn.index * slot;
+    std::chrono::duration<double> const passed = now - wanted.started;
+    return passed >= wanted.index * slot_time;
 }
 
 void note_origin_fetch_started(origin_pace& pace)
@@ -79,25 +81,26 @@
     }
     auto const doublings = std::min(
         pace.failures_in_a_row, outcome == origin_fetch_outcome::refused
-                                    ? most_doublings_refused
-                                    : most_doublings);
+                                    ? max_doublings_refused
+                                    : max_doublings);
     ++pace.failures_in_a_row;
     pace.last_failure = now;
-    auto const longest = static_cast<std::uint64_t>(first_pause.count())
-                         << doublings;
-    auto const pause = longest / 2 + base::random_below(random, longest / 2);
+    auto const max_pause = static_cast<std::uint64_t>(first_pause.count())
+                           << doublings;
+    auto const pause =
+        max_pause / 2 + base::random_below(random, max_pause / 2);
     pace.not_before = now + milliseconds(pause);
 }
 
 bool suspects_origin(origin_pace const& pace, base::time_point now)
 {
     return pace.failures_in_a_row > 0 &&
-           now - pace.last_failure < suspicion_time;
+           now - pace.last_failure < suspicion_lifetime;
 }
 
 bool should_decline(origin_pace const& pace)
 {
-    return pace.failures_in_a_row >= most_failures;
+    return pace.failures_in_a_row >= max_failures;
 }
 
 } // namespace foxtailvale::weights
--- a/libs/weights/src/switch_time.cpp
+++ b/libs/weights/src/switch_time.cpp
@@ -10,111 +10,122 @@
 
 using std::chrono::milliseconds;
 
-// The figures below are shares of the bound.
+// Times relative to the announcement of a version, as fractions of the bound.
 
-// When chunks are taken to be whole, as long as no arrival was seen.
-constexpr double usual_arrival = 0.45;
+// Assumed arrival of a version's last chunk until an arrival was observed.
+constexpr double default_arrival = 0.45;
 
-// The last engine goes: nothing that waits in its line may begin past the
-// bound.
-constexpr double last_turn = 0.85;
+// Latest switch of the last engine: no request in its queue may begin on the
+// old version past the bound.
+constexpr double latest_switch = 0.85;
 
-// Until then entries send to an engine on the older version: what they send
-// must begin before the bound.
-constexpr double last_use = 0.85;
+// Entries send requests to an engine on the older version until this time,
+// since these requests must begin before the bound.
+constexpr double latest_dispatch = 0.85;
 
-// Until then an engine of the earlier half may wait for a newer version: it is
-// to carry traffic when the older one ends.
-constexpr double early_patience = 0.67;
+// An engine of the earlier half may wait for a newer version until this time,
+// because it must be able to serve traffic when the older version expires.
+constexpr double early_wait_limit = 0.67;
 
-// Until then one that skipped a version may serve what it has.
-constexpr double late_patience = 0.95;
+// An engine that skipped a version may serve its current one until this time.
+constexpr double late_service_limit = 0.95;
 
-// What a switch costs an engine of its work: while it empties, as entries send
-// nothing that may run longer than it has, and while it loads.
+// The engine's work that a switch costs: while the engine drains, since entries
+// send it nothing that may run longer than it has left, and while it loads.
 constexpr std::chrono::milliseconds switch_cost{1500};
 
-base::duration part_of(std::chrono::milliseconds bound, double share)
+base::duration fraction_of(std::chrono::milliseconds bound, double share)
 {
     return std::chrono::duration_cast<base::duration>(bound * share);
 }
 
-// The engine's place among those of its failure domain, from 0 to 1.
-double place_of(switch_context const& ask)
+// The engine's relative position within its failure domain, between 0 and 1.
+double relative_rank(switch_context const& context)
 {
     auto const count =
-        static_cast<double>(std::max<std::size_t>(1, ask.agents));
-    return std::min(1.0, (static_cast<double>(ask.rank) + 0.5) / count);
+        static_cast<double>(std::max<std::size_t>(1, context.agents));
+    return std::min(1.0, (static_cast<double>(context.rank) + 0.5) / count);
 }
 
-bool is_early(switch_context const& ask)
+bool is_in_earlier_half(switch_context const& context)
 {
-    return place_of(ask) < 0.5;
+    return relative_rank(context) < 0.5;
 }
 
 base::time_point
-expected_arrival(switch_context const& ask, announced_target const& target)
+expected_arrival(switch_context const& context, announced_target const& target)
 {
-    auto const known = ask.whole ? ask.whole(target.version) : std::nullopt;
+    auto const known =
+        context.whole ? context.whole(target.version) : std::nullopt;
     return known.value_or(
         target.named +
-        ask.arrival.value_or(std::chrono::duration_cast<milliseconds>(
-            part_of(ask.bound, usual_arrival))));
+        context.arrival.value_or(std::chrono::duration_cast<milliseconds>(
+            fraction_of(context.bound, default_arrival))));
 }
 
-announced_target const* first_unmet(switch_context const& ask)
+announced_target const* first_newer_target(switch_context const& context)
 {
     auto const found = std::ranges::find_if(
-        ask.targets,
-        [&ask](announced_target const& target)
+        context.targets,
+        [&context](announced_target const& target)
         {
-            return target.version > ask.serving;
+            return target.version > context.serving;
         });
-    return found == ask.targets.end() ? nullptr : &*found;
+    return found == context.targets.end() ? nullptr : &*found;
 }
 
-// When the newer version must be there for an engine to skip the unmet one.
-base::time_point
-skips_until(bool early, switch_context const& ask, announced_target const& unmet)
+// The newer version must be complete by this time for an engine to skip
+// `first_newer`.
+base::time_point skip_deadline(
+    bool early,
+    switch_context const& context,
+    announced_target const& first_newer)
 {
-    return early ? unmet.named + part_of(ask.bound, early_patience)
-                 : unmet.named + part_of(ask.bound, last_use) + switch_cost;
+    return early
+               ? first_newer.named +
+                     fraction_of(context.bound, early_wait_limit)
+               : first_newer.named +
+                     fraction_of(context.bound, latest_dispatch) + switch_cost;
 }
 
-// The later half skips the version that this engine serves and goes to the
-// target at once when it comes, as its own has ended.
-bool others_skip(switch_context const& ask, announced_target const& target)
+// Whether the engines of the later half skip the version that this engine
+// serves. They switch to the target as soon as it arrives, because the version
+// that they serve has expired.
+bool later_half_skips(
+    switch_context const& context, announced_target const& target)
 {
-    return is_early(ask) && std::ranges::any_of(
-                                ask.targets,
-                                [&](announced_target const& other)
-                                {
-                                    return other.version < target.version &&
-                                           other.version == ask.serving &&
-                                           expected_arrival(ask, target) <=
-                                               skips_until(false, ask, other);
-                                });
+    return is_in_earlier_half(context) &&
+           std::ranges::any_of(
+               context.targets,
+               [&](announced_target const& other)
+               {
+                   return other.version < target.version &&
+                          other.version == context.serving &&
+                          expected_arrival(context, target) <=
+                              skip_deadline(false, context, other);
+               });
 }
 
 } // namespace
 
-std::uint64_t choose_target(switch_context const& ask)
+std::uint64_t choose_target(switch_context const& context)
 {
-    if (ask.targets.empty())
+    if (context.targets.empty())
     {
         return 1;
     }
-    auto const* unmet = first_unmet(ask);
-    if (ask.serving == 0 || unmet == nullptr)
+    auto const* first_newer = first_newer_target(context);
+    if (context.serving == 0 || first_newer == nullptr)
     {
-        return ask.targets.back().version;
+        return context.targets.back().version;
     }
-    auto chosen = unmet->version;
-    for (auto const& target : ask.targets)
+    auto chosen = first_newer->version;
+    for (auto const& target : context.targets)
     {
         if (target.version > chosen &&
-            expected_arrival(ask, target) <=
-                skips_until(is_early(ask), ask, *unmet))
+            expected_arrival(context, target) <=
+                skip_deadline(
+                    is_in_earlier_half(context), context, *first_newer))
         {
             chosen = target.version;
         }
@@ -123,25 +134,27 @@
 }
 
 std::uint64_t choose_fallback_target(
-    switch_context const& ask,
+    switch_context const& context,
     std::uint64_t chosen,
     std::function<std::size_t(std::uint64_t)> const& chunks_to_come,
     base::time_point now)
 {
-    auto const* unmet = first_unmet(ask);
-    if (ask.serving == 0 || unmet == nullptr)
+    auto const* first_newer = first_newer_target(context);
+    if (context.serving == 0 || first_newer == nullptr)
     {
         return chosen;
     }
-    auto const left = chunk_interval * static_cast<int>(chunks_to_come(chosen));
-    if (left < switch_cost || now + left <= unmet->named + ask.bound)
+    auto const remaining =
+        chunk_interval * static_cast<int>(chunks_to_come(chosen));
+    if (remaining < switch_cost ||
+        now + remaining <= first_newer->named + context.bound)
     {
         return chosen;
     }
     auto best = chosen;
-    for (auto const& target : ask.targets)
+    for (auto const& target : context.targets)
     {
-        if (target.version > ask.serving && target.version < chosen &&
+        if (target.version > context.serving && target.version < chosen &&
             chunks_to_come(target.version) == 0)
         {
             best = target.version;
@@ -150,32 +163,36 @@
     return best;
 }
 
-base::time_point planned_switch_time(switch_context const& ask, std::uint64_t target)
+base::time_point
+planned_switch_time(switch_context const& context, std::uint64_t target)
 {
     auto const found =
-        std::ranges::find(ask.targets, target, &announced_target::version);
-    auto const* unmet = first_unmet(ask);
-    if (ask.serving == 0 || unmet == nullptr || found == ask.targets.end())
+        std::ranges::find(context.targets, target, &announced_target::version);
+    auto const* first_newer = first_newer_target(context);
+    if (context.serving == 0 || first_newer == nullptr ||
+        found == context.targets.end())
     {
         return {};
     }
-    auto place = place_of(ask);
-    if (others_skip(ask, *found))
+    auto position = relative_rank(context);
+    if (later_half_skips(context, *found))
     {
-        // The earlier half has the rest of the time to itself.
-        constexpr double after_others = 0.42;
-        place = after_others + 2 * (1 - after_others) * place;
+        // The earlier half uses the remaining time alone.
+        constexpr double earlier_half_start = 0.42;
+        position = earlier_half_start + 2 * (1 - earlier_half_start) * position;
     }
-    auto const first = expected_arrival(ask, *found);
-    auto last = found->named + part_of(ask.bound, last_turn);
-    auto const skips = unmet->version != target;
+    auto const first = expected_arrival(context, *found);
+    auto last = found->named + fraction_of(context.bound, latest_switch);
+    auto const skips = first_newer->version != target;
     if (skips)
     {
-        last = std::min(last, unmet->named + part_of(ask.bound, late_patience));
+        last = std::min(
+            last, first_newer->named +
+                      fraction_of(context.bound, late_service_limit));
     }
     last = std::max(first, last);
-    return first +
-           std::chrono::duration_cast<base::duration>((last - first) * place);
+    return first + std::chrono::duration_cast<base::duration>(
+                       (last - first) * position);
 }
 
 } // namespace foxtailvale::weights
--- a/libs/weights/src/upload_queue.cpp
+++ b/libs/weights/src/upload_queue.cpp
@@ -8,12 +8,12 @@
 namespace
 {
 
-// Requests that may wait: two children for each of some thousand chunks. A
-// request takes about a hundred bytes.
-constexpr std::size_t most_waiting = 8192;
+// Limit of waiting requests: two children for each of several thousand chunks.
+// A request takes about a hundred bytes.
+constexpr std::size_t max_waiting = 8192;
 
-// The cap may be exceeded by this much at once, so that the tick's interval
-// does not cost rate.
+// Burst allowance in seconds of the rate limit, so that the interval between
+// ticks does not reduce the achieved rate.
 constexpr double burst_seconds = 0.05;
 
 void refill(upload_queue& queue, base::time_point now)
@@ -29,7 +29,7 @@
 
 bool wait_for_chunk(upload_queue& queue, upload const& request)
 {
-    if (queue.waiting_count >= most_waiting)
+    if (queue.waiting_count >= max_waiting)
     {
         return false;
     }
--- a/libs/weights/tests/burst_world.hpp
+++ b/libs/weights/tests/burst_world.hpp
@@ -17,52 +17,53 @@
 namespace foxtailvale::weights
 {
 
-// A span of time counted from the naming of the version.
-struct span
+// A time span relative to the announcement of the version.
+struct time_span
 {
     std::chrono::milliseconds from{0};
     std::chrono::milliseconds to{0};
 };
 
-struct burst_course
+struct burst_scenario
 {
     std::size_t agents = 24;
-    // The origin has no power in this time: calls get no answer.
-    std::optional<span> origin_away;
-    // These agents neither send nor receive, whatever happens.
+    // The origin is without power: requests get no response.
+    std::optional<time_span> origin_down;
+    // Agents that never send or receive.
     std::set<std::size_t> dead;
-    // These end so long after the naming.
+    // Agents that die this long after the announcement.
     std::map<std::size_t, std::chrono::milliseconds> dies;
-    // These begin so much later.
+    // Agents that begin this much later.
     std::map<std::size_t, std::chrono::milliseconds> late;
-    // These cannot reach the origin.
+    // Agents that cannot reach the origin.
     std::set<std::size_t> cut_from_origin;
-    // All agents draw, as before few did; shows what the bound is for.
-    bool all_draw = false;
-    // Agents of engines that serve the version already.
+    // All agents fetch from the origin; shows why the number of fetchers is
+    // limited.
+    bool all_fetch_from_origin = false;
+    // Number of agents whose engines serve the version already.
     std::size_t holders = 0;
-    // Links of these are so many times narrower.
+    // Agents whose links are narrower by this factor.
     std::map<std::size_t, double> squeezed;
 };
 
 struct burst_outcome
 {
-    // When the last agent that lives had all chunks; nothing if never.
-    std::optional<std::chrono::milliseconds> whole;
+    // When the last live agent had all chunks; nothing if that did not happen.
+    std::optional<std::chrono::milliseconds> completed_after;
     // When the origin had sent each chunk once.
     std::optional<std::chrono::milliseconds> first_copy;
-    // What it sent, in copies.
+    // Amount that the origin sent, in copies of the version.
     double copies = 0;
-    std::size_t most_connections = 0;
+    std::size_t max_connections = 0;
     // Connections that the origin refused.
     std::size_t refused = 0;
 };
 
-// Runs a burst in virtual time, in steps of 5 ms: three failure domains, an
-// origin with 48 connections and 9.9 Mbit/s, agents with links of 7.6 Mbit/s,
-// 64 chunks of 32 KiB. Agents follow the product's decisions; the wire between
-// them is played here.
-burst_outcome run_burst(burst_course const& course);
+// Simulates a burst in virtual time, in steps of 5 ms: three failure domains,
+// an origin with 48 connections and 9.9 Mbit/s, agents with links of 7.6
+// Mbit/s, 64 chunks of 32 KiB. The agents' decisions are those of the product;
+// the network between them is simulated.
+burst_outcome run_burst(burst_scenario const& scenario);
 
 } // namespace foxtailvale::weights
 
--- a/libs/weights/tests/chunk_store_tests.cpp
+++ b/libs/weights/tests/chunk_store_tests.cpp
@@ -6,10 +6,10 @@
 namespace foxtailvale::weights
 {
 
-// A chunk is flipped on the wire. Kept and loaded, callers would be answered
-// from mixed weights; the store must refuse it and stay incomplete until the
-// right bytes come.
-TEST(chunk_store, a_corrupted_chunk_never_makes_a_version_whole)
+// A chunk is corrupted in transit. If it were stored and loaded, callers would
+// get answers from mixed weights. The store must refuse it and stay incomplete
+// until the right bytes arrive.
+TEST(chunk_store, a_corrupted_chunk_never_completes_a_version)
 {
     std::string const bytes = "0123456789";
     auto const text = to_text(describe_weights(bytes, 4));
--- a/libs/weights/tests/chunk_transfer_tests.cpp
+++ b/libs/weights/tests/chunk_transfer_tests.cpp
@@ -23,7 +23,7 @@
     return "v" + std::to_string(version) + " chunk " + std::to_string(index);
 }
 
-std::vector<std::string> digests(std::uint64_t version = 2)
+std::vector<std::string> chunk_digests(std::uint64_t version = 2)
 {
     std::vector<std::string> made;
     for (std::uint32_t index = 0; index < chunk_count; ++index)
@@ -33,8 +33,8 @@
     return made;
 }
 
-// Three failure domains of five agents a0..a4, b0.., c0...
-plan_set fleet()
+// Three failure domains of five agents each: a0..a4, b0..b4, c0..c4.
+plan_set make_fleet()
 {
     plan_set plans;
     for (std::string const domain : {"a", "b", "c"})
@@ -51,39 +51,40 @@
     return plans;
 }
 
-origin_fetch_schedule schedule()
+origin_fetch_schedule make_schedule()
 {
-    return plan_origin_fetches(fleet(), {}, 32768, start);
+    return plan_origin_fetches(make_fleet(), {}, 32768, start);
 }
 
-// The schedule of an agent that stands in no fleet.
-origin_fetch_schedule schedule_alone(std::chrono::microseconds interval)
+// The schedule of a single agent outside the fleet.
+origin_fetch_schedule single_agent_schedule(std::chrono::microseconds interval)
 {
     return {{"z0"}, 1, 1, start, interval};
 }
 
-// What has become of a fleet that exchanges chunks.
+// State of a simulated fleet that exchanges chunks.
 struct exchange
 {
     std::map<std::string, chunk_transfer> agents;
-    std::map<std::string, source_table> books;
-    std::uint32_t drawn = 0;
+    std::map<std::string, source_table> tables;
+    std::uint32_t origin_fetches = 0;
     std::uint32_t rounds = 0;
 };
 
-// Lets all agents ask and answer in rounds of 20 ms until all hold everything.
-// Agents in `dead` never answer; the origin spoils every tenth chunk when told.
-exchange run(std::set<std::string> const& dead, bool origin_spoils)
+// Lets all agents send and answer requests in rounds of 20 ms until all are
+// complete. Agents in `dead` never respond; the origin corrupts every tenth
+// chunk if `origin_corrupts` is set.
+exchange run_exchange(std::set<std::string> const& dead, bool origin_corrupts)
 {
     exchange state;
-    auto const plans = fleet();
+    auto const plans = make_fleet();
     for (auto const& [domain, plan] : plans)
     {
         for (auto const& endpoint : plan.endpoints)
         {
             if (!dead.contains(endpoint.agent))
             {
-                begin(state.agents[endpoint.agent], digests(), start);
+                begin(state.agents[endpoint.agent], chunk_digests(), start);
             }
         }
     }
@@ -103,36 +104,39 @@
         now += milliseconds(20);
         for (auto& [name, transfer] : state.agents)
         {
-            auto& book = state.books[name];
-            auto const asks = next_chunk_requests(
-                transfer, book, plans, {name.substr(0, 1), name, "m@2"},
-                schedule(), {}, now);
-            for (auto const& wanted : asks)
+            auto& table = state.tables[name];
+            auto const wanted_chunks = next_chunk_requests(
+                transfer, table, plans, {name.substr(0, 1), name, "m@2"},
+                make_schedule(), {}, now);
+            for (auto const& wanted : wanted_chunks)
             {
                 auto const& source = wanted.source.agent;
                 if (source.empty())
                 {
-                    ++state.drawn;
-                    auto const spoilt = origin_spoils && state.drawn % 10 == 0;
+                    ++state.origin_fetches;
+                    auto const corrupt =
+                        origin_corrupts && state.origin_fetches % 10 == 0;
                     deliver(
-                        transfer, book, wanted.index,
-                        spoilt ? "rubbish" : bytes_of(wanted.index), now);
+                        transfer, table, wanted.index,
+                        corrupt ? "rubbish" : bytes_of(wanted.index), now);
                     continue;
                 }
                 if (dead.contains(source))
                 {
-                    lose(transfer, book, wanted.index, chunk_loss::failed, now);
+                    lose(
+                        transfer, table, wanted.index, chunk_loss::failed, now);
                     continue;
                 }
                 auto const& held = state.agents[source].chunks[wanted.index];
                 if (held)
                 {
-                    deliver(transfer, book, wanted.index, *held, now);
+                    deliver(transfer, table, wanted.index, *held, now);
                 }
                 else
                 {
                     lose(
-                        transfer, book, wanted.index, chunk_loss::not_yet, now);
+                        transfer, table, wanted.index, chunk_loss::not_yet,
+                        now);
                 }
             }
         }
@@ -144,29 +148,30 @@
 
 TEST(chunk_transfer, one_copy_from_the_origin_serves_a_fleet)
 {
-    auto const state = run({}, false);
+    auto const state = run_exchange({}, false);
     for (auto const& [name, transfer] : state.agents)
     {
         EXPECT_TRUE(is_complete(transfer)) << name;
     }
-    EXPECT_EQ(state.drawn, chunk_count);
+    EXPECT_EQ(state.origin_fetches, chunk_count);
 }
 
-// A third of the agents is dead when a version is named. The others wait for
-// chunks that never come, or all of them turn to the origin.
+// A third of the agents is dead when a version is announced. The other agents
+// must neither wait for chunks that never arrive nor all fall back to the
+// origin.
 TEST(chunk_transfer, dead_agents_cost_few_copies)
 {
-    auto const state = run({"a0", "a3", "b1", "c0", "c4"}, false);
+    auto const state = run_exchange({"a0", "a3", "b1", "c0", "c4"}, false);
     for (auto const& [name, transfer] : state.agents)
     {
         EXPECT_TRUE(is_complete(transfer)) << name;
     }
-    EXPECT_LE(state.drawn, 2 * chunk_count);
+    EXPECT_LE(state.origin_fetches, 2 * chunk_count);
 }
 
-TEST(chunk_transfer, a_failure_domain_alone_helps_itself)
+TEST(chunk_transfer, a_single_failure_domain_completes_without_the_others)
 {
-    auto const state = run(
+    auto const state = run_exchange(
         {"a0", "a1", "a2", "a3", "a4", "c0", "c1", "c2", "c3", "c4"}, false);
     for (auto const& [name, transfer] : state.agents)
     {
@@ -174,11 +179,11 @@
     }
 }
 
-// Chunks arrive corrupted. One that is kept, or handed on, ends in an engine
-// that answers callers from broken weights.
-TEST(chunk_transfer, spoilt_chunks_are_never_kept)
+// Chunks arrive corrupted. If one were stored or passed on, an engine would
+// answer callers from broken weights.
+TEST(chunk_transfer, corrupted_chunks_are_never_stored)
 {
-    auto const state = run({}, true);
+    auto const state = run_exchange({}, true);
     for (auto const& [name, transfer] : state.agents)
     {
         ASSERT_TRUE(is_complete(transfer)) << name;
@@ -189,85 +194,90 @@
     }
 }
 
-// Engines are added while the origin is away. Each waits for others that have
-// just come, or for the origin, although their neighbours serve the version.
+// Engines are added while the origin is away. Their agents must not wait for
+// other new agents or for the origin while neighbours serve the version.
 TEST(chunk_transfer, whoever_comes_later_asks_those_that_serve)
 {
     chunk_transfer state;
-    begin(state, digests(), start);
-    source_table book;
-    transfer_requester const place{
+    begin(state, chunk_digests(), start);
+    source_table table;
+    transfer_requester const requester{
         "a", "a4", "m@2", {{"a0", "a0:1"}, {"a1", "a1:1"}, {"a2", "a2:1"}}};
-    std::map<std::string, int> asked;
+    std::map<std::string, int> requested;
     for (auto now = start; !is_complete(state) && now < start + seconds(5);
          now += milliseconds(20))
     {
-        for (auto const& wanted :
-             next_chunk_requests(state, book, fleet(), place, schedule(), {}, now))
+        for (auto const& wanted : next_chunk_requests(
+                 state, table, make_fleet(), requester, make_schedule(), {},
+                 now))
         {
-            ++asked[wanted.source.agent];
-            deliver(state, book, wanted.index, bytes_of(wanted.index), now);
+            ++requested[wanted.source.agent];
+            deliver(state, table, wanted.index, bytes_of(wanted.index), now);
         }
     }
     EXPECT_TRUE(is_complete(state));
-    EXPECT_EQ(asked.size(), 3U);
-    EXPECT_EQ(asked[""], 0);
-    EXPECT_GT(asked["a0"], 10);
+    EXPECT_EQ(requested.size(), 3U);
+    EXPECT_EQ(requested[""], 0);
+    EXPECT_GT(requested["a0"], 10);
 }
 
-// The importer of a chunk ends in the middle of a burst, the origin dies, and
-// one agent that stands behind has the chunk. Everybody asks those before.
-TEST(chunk_transfer, a_chunk_is_found_at_whoever_holds_it)
+// The importer of a chunk dies in the middle of a burst, the origin dies too,
+// and only an agent later in the order holds the chunk. Requests must not go to
+// preceding agents alone.
+TEST(chunk_transfer, a_chunk_is_requested_from_any_known_holder)
 {
     chunk_transfer state;
-    begin(state, digests(), start);
-    source_table book;
-    transfer_requester const place{"a", "a2", "m@2", {}};
+    begin(state, chunk_digests(), start);
+    source_table table;
+    transfer_requester const requester{"a", "a2", "m@2", {}};
     note_holdings(state, {"c3", "c3:1"}, std::string(chunk_count, '1'), start);
     auto now = start;
     for (; !is_complete(state) && now < start + seconds(60);
          now += milliseconds(50))
     {
-        for (auto const& wanted :
-             next_chunk_requests(state, book, fleet(), place, schedule(), {}, now))
+        for (auto const& wanted : next_chunk_requests(
+                 state, table, make_fleet(), requester, make_schedule(), {},
+                 now))
         {
             auto const& source = wanted.source.agent;
             if (source == "c3")
             {
-                deliver(state, book, wanted.index, bytes_of(wanted.index), now);
+                deliver(
+                    state, table, wanted.index, bytes_of(wanted.index), now);
                 continue;
             }
             lose(
-                state, book, wanted.index,
+                state, table, wanted.index,
                 source.empty() ? chunk_loss::failed : chunk_loss::not_yet, now);
         }
     }
     EXPECT_LE(now, start + seconds(4));
 }
 
-// The origin dies in the middle of a burst and is back six seconds later. The
-// fleet leaves it alone for ten more, while every engine's version is past its
-// time and all callers are refused.
-TEST(chunk_transfer, an_origin_that_was_away_is_asked_again_soon)
+// The origin dies in the middle of a burst and returns six seconds later. If
+// the fleet avoided it for ten more, all versions in use would expire and
+// callers would be refused.
+TEST(chunk_transfer, an_origin_that_was_down_is_retried_soon)
 {
     chunk_transfer state;
-    begin(state, digests(), start);
-    source_table book;
-    transfer_requester const alone{"z", "z0", "m@2"};
+    begin(state, chunk_digests(), start);
+    source_table table;
+    transfer_requester const single_requester{"z", "z0", "m@2"};
     auto const back = start + seconds(6);
     auto now = start;
     for (; !is_complete(state) && now < start + seconds(60);
          now += milliseconds(50))
     {
-        for (auto const& wanted :
-             next_chunk_requests(state, book, {}, alone, schedule_alone({}), {}, now))
+        for (auto const& wanted : next_chunk_requests(
+                 state, table, {}, single_requester, single_agent_schedule({}),
+                 {}, now))
         {
             if (now < back)
             {
-                lose(state, book, wanted.index, chunk_loss::failed, now);
+                lose(state, table, wanted.index, chunk_loss::failed, now);
                 continue;
             }
-            deliver(state, book, wanted.index, bytes_of(wanted.index), now);
+            deliver(state, table, wanted.index, bytes_of(wanted.index), now);
         }
     }
     EXPECT_LE(now, back + seconds(4));
@@ -276,9 +286,9 @@
 TEST(chunk_transfer, unchanged_chunks_are_kept_between_versions)
 {
     chunk_transfer earlier;
-    begin(earlier, digests(1), start);
+    begin(earlier, chunk_digests(1), start);
     ASSERT_TRUE(offer(earlier, 5, bytes_of(5, 1)));
-    auto changed = digests(2);
+    auto changed = chunk_digests(2);
     changed[7] = earlier.digests[5];
     chunk_transfer next;
     begin(next, changed, start);
@@ -291,152 +301,165 @@
 TEST(chunk_transfer, bytes_of_another_chunk_are_refused)
 {
     chunk_transfer state;
-    begin(state, digests(), start);
+    begin(state, chunk_digests(), start);
     EXPECT_FALSE(offer(state, 3, bytes_of(4)));
     EXPECT_FALSE(offer(state, chunk_count, bytes_of(4)));
     EXPECT_EQ(state.held, 0U);
 }
 
-// An importer's questions to others fill its window, and the chunks that it
-// alone is to draw come last. The origin dies before, and the whole fleet
-// misses two.
-TEST(chunk_transfer, draws_from_the_origin_do_not_wait_for_other_chunks)
+// An importer's requests to other agents fill its window, and the chunks that
+// only it is to fetch come last. The origin dies before that, and the whole
+// fleet lacks two chunks.
+TEST(chunk_transfer, origin_fetches_do_not_wait_for_other_chunks)
 {
     chunk_transfer state;
-    begin(state, digests(), start);
-    source_table book;
-    std::uint32_t drawn = 0;
+    begin(state, chunk_digests(), start);
+    source_table table;
+    std::uint32_t origin_fetches = 0;
     for (auto now = start; now < start + milliseconds(1000);
          now += milliseconds(20))
     {
         for (auto const& wanted : next_chunk_requests(
-                 state, book, fleet(), {"a", "a1", "m@2", {}}, schedule(), {},
-                 now))
+                 state, table, make_fleet(), {"a", "a1", "m@2", {}},
+                 make_schedule(), {}, now))
         {
-            // Others never answer in this time.
+            // Other agents never respond in this time.
             if (wanted.source.agent.empty())
             {
-                ++drawn;
-                deliver(state, book, wanted.index, bytes_of(wanted.index), now);
+                ++origin_fetches;
+                deliver(
+                    state, table, wanted.index, bytes_of(wanted.index), now);
             }
         }
     }
-    // Its part of 64 chunks among eight agents that draw.
-    EXPECT_GE(drawn, 8U);
+    // The agent's share of 64 chunks among eight fetchers.
+    EXPECT_GE(origin_fetches, 8U);
 }
 
-// All agents ask a slow origin for all chunks at once. They all end at the
-// same late time, and nobody has anything to hand on before.
-TEST(chunk_transfer, the_origin_is_asked_at_the_rate_of_its_link)
+// All agents request all chunks from a slow origin at once. All chunks arrive
+// equally late, and no agent has anything to pass on before.
+TEST(chunk_transfer, origin_requests_follow_the_rate_of_its_link)
 {
     chunk_transfer state;
-    begin(state, digests(), start);
-    source_table book;
+    begin(state, chunk_digests(), start);
+    source_table table;
     transfer_limits limits;
     limits.origin = chunk_count;
     limits.total = chunk_count;
-    auto const paced = schedule_alone(std::chrono::microseconds(25000));
-    transfer_requester const alone{"z", "z0", "m@2"};
+    auto const paced = single_agent_schedule(std::chrono::microseconds(25000));
+    transfer_requester const single_requester{"z", "z0", "m@2"};
     EXPECT_EQ(
-        next_chunk_requests(state, book, {}, alone, paced, limits, start).size(), 1U);
+        next_chunk_requests(
+            state, table, {}, single_requester, paced, limits, start)
+            .size(),
+        1U);
     auto const later = start + milliseconds(250);
     EXPECT_EQ(
-        next_chunk_requests(state, book, {}, alone, paced, limits, later).size(), 10U);
+        next_chunk_requests(
+            state, table, {}, single_requester, paced, limits, later)
+            .size(),
+        10U);
 }
 
 namespace
 {
 
-// The first agent that stands in for the drawer of chunk 0, at a moment at
-// which it may ask whether that drawer lives.
-struct standing_in
+// The first substitute for the fetcher of chunk 0, and its liveness checks.
+struct substitute
 {
-    standing_in()
+    substitute()
     {
-        begin(this->transfer, digests(), start);
+        begin(this->transfer, chunk_digests(), start);
     }
 
     std::vector<chunk_source> checks(base::time_point now)
     {
         return next_liveness_checks(
-            this->transfer, fleet(), this->place, this->draws, now);
+            this->transfer, make_fleet(), this->requester, this->fetch_schedule,
+            now);
     }
 
-    bool draws_first_chunk(base::time_point now)
+    bool fetches_first_chunk(base::time_point now)
     {
         transfer_limits limits;
         limits.origin = chunk_count;
-        auto const asks = next_chunk_requests(
-            this->transfer, this->book, fleet(), this->place, this->draws,
-            limits, now);
+        auto const wanted_chunks = next_chunk_requests(
+            this->transfer, this->table, make_fleet(), this->requester,
+            this->fetch_schedule, limits, now);
         return std::ranges::any_of(
-            asks,
+            wanted_chunks,
             [](wanted_chunk const& wanted)
             {
                 return wanted.index == 0 && wanted.source.agent.empty();
             });
     }
 
-    origin_fetch_schedule draws = schedule();
-    std::string drawer = origin_fetcher_of(this->draws, 0);
-    transfer_requester place{
-        this->draws.order[1].substr(0, 1), this->draws.order[1], "m@2", {}};
+    origin_fetch_schedule fetch_schedule = make_schedule();
+    std::string fetcher = origin_fetcher_of(this->fetch_schedule, 0);
+    transfer_requester requester{
+        this->fetch_schedule.order[1].substr(0, 1),
+        this->fetch_schedule.order[1],
+        "m@2",
+        {}};
     chunk_transfer transfer;
-    source_table book;
+    source_table table;
 };
 
-constexpr milliseconds may_check{400};
+constexpr milliseconds check_delay{400};
 
 } // namespace
 
-TEST(chunk_transfer, who_stands_in_asks_once_whether_the_drawer_lives)
+TEST(chunk_transfer, a_substitute_checks_once_whether_the_fetcher_is_alive)
 {
-    standing_in agent;
-    EXPECT_TRUE(agent.checks(start + may_check - milliseconds(1)).empty());
-    auto const asked = agent.checks(start + may_check);
-    ASSERT_EQ(asked.size(), 1U);
-    EXPECT_EQ(asked.front().agent, agent.drawer);
-    EXPECT_TRUE(agent.checks(start + may_check + milliseconds(1)).empty());
+    substitute agent;
+    EXPECT_TRUE(agent.checks(start + check_delay - milliseconds(1)).empty());
+    auto const requested = agent.checks(start + check_delay);
+    ASSERT_EQ(requested.size(), 1U);
+    EXPECT_EQ(requested.front().agent, agent.fetcher);
+    EXPECT_TRUE(agent.checks(start + check_delay + milliseconds(1)).empty());
 }
 
-// Guards against chunks of a drawer that ended being drawn after more than a
-// second each.
-TEST(chunk_transfer, chunks_of_a_silent_drawer_are_drawn_at_once)
+// Guards against chunks of a dead fetcher taking more than a second each until
+// a substitute fetches them.
+TEST(chunk_transfer, chunks_of_an_unresponsive_fetcher_are_fetched_at_once)
 {
-    standing_in agent;
-    agent.checks(start + may_check);
-    auto const answered = start + may_check + liveness_check_timeout;
-    note_liveness_check(agent.transfer, agent.drawer, false);
-    EXPECT_TRUE(agent.draws_first_chunk(answered));
+    substitute agent;
+    agent.checks(start + check_delay);
+    auto const answered = start + check_delay + liveness_check_timeout;
+    note_liveness_check(agent.transfer, agent.fetcher, false);
+    EXPECT_TRUE(agent.fetches_first_chunk(answered));
 }
 
-// Guards against a second copy of what a drawer that lives is about to have.
-TEST(chunk_transfer, chunks_of_a_drawer_that_lives_are_left_to_it)
+// Guards against a second copy of a chunk that a live fetcher is about to have.
+TEST(chunk_transfer, chunks_of_a_live_fetcher_are_left_to_it)
 {
-    standing_in agent;
-    agent.checks(start + may_check);
-    note_liveness_check(agent.transfer, agent.drawer, true);
-    EXPECT_FALSE(agent.draws_first_chunk(start + may_check + liveness_check_timeout));
+    substitute agent;
+    agent.checks(start + check_delay);
+    note_liveness_check(agent.transfer, agent.fetcher, true);
+    EXPECT_FALSE(agent.fetches_first_chunk(
+        start + check_delay + liveness_check_timeout));
 }
 
-// Guards against fetchers that ask each other for their own chunks while the
-// origin is away, and then draw later ones first, which nobody asks for yet.
-TEST(chunk_transfer, own_chunks_are_asked_of_others_behind_all_the_rest)
+// Guards against fetchers that request their own chunks from each other while
+// the origin is away, and after its return first fetch later chunks that no
+// other agent is requesting yet.
+TEST(chunk_transfer, own_chunks_are_requested_from_others_last)
 {
     chunk_transfer transfer;
-    begin(transfer, digests(), start);
-    source_table book;
-    auto const draws = schedule();
-    auto const& agent = draws.order.front();
+    begin(transfer, chunk_digests(), start);
+    source_table table;
+    auto const fetch_schedule = make_schedule();
+    auto const& agent = fetch_schedule.order.front();
     auto const now = start + seconds(3);
-    avoid_briefly(book, {}, now);
-    auto const asks = next_chunk_requests(
-        transfer, book, fleet(), {agent.substr(0, 1), agent, "m@2", {}}, draws,
-        {}, now);
-    EXPECT_EQ(asks.size(), transfer_limits{}.total);
-    for (auto const& wanted : asks)
+    avoid_briefly(table, {}, now);
+    auto const wanted_chunks = next_chunk_requests(
+        transfer, table, make_fleet(), {agent.substr(0, 1), agent, "m@2", {}},
+        fetch_schedule, {}, now);
+    EXPECT_EQ(wanted_chunks.size(), transfer_limits{}.total);
+    for (auto const& wanted : wanted_chunks)
     {
-        EXPECT_NE(origin_fetcher_of(draws, wanted.index), agent) << wanted.index;
+        EXPECT_NE(origin_fetcher_of(fetch_schedule, wanted.index), agent)
+            << wanted.index;
     }
 }
 
--- a/libs/weights/tests/forest_tests.cpp
+++ b/libs/weights/tests/forest_tests.cpp
@@ -30,7 +30,7 @@
     return plans;
 }
 
-// Whom an agent asks that knows nothing bad of anyone.
+// The source that an agent chooses when all agents are usable.
 chunk_source first_choice(
     plan_set const& plans,
     std::string const& domain,
@@ -93,10 +93,10 @@
     }
 }
 
-// A VM dies in the middle of a burst. If those below it all turned to the
-// origin, its link would carry dozens of copies; with every order the same,
-// only the one that stands first among the living may.
-TEST(forest, one_draws_in_place_of_a_dead_importer)
+// A VM dies in the middle of a burst. If all agents below it fell back to the
+// origin, its link would carry dozens of copies. Since all agents use the same
+// order, only the first live one may.
+TEST(forest, one_agent_fetches_in_place_of_a_dead_importer)
 {
     auto const plans = plans_of({{"a", "r"}}, 32);
     for (std::uint32_t chunk = 0; chunk < 32; ++chunk)
@@ -108,19 +108,20 @@
                 sources_of(plans, "a", endpoint.agent, digest, chunk)->place;
             importer = place == 0 ? endpoint.agent : importer;
         }
-        int draws = 0;
+        int origin_fetches = 0;
         for (auto const& endpoint : plans.at("a").endpoints)
         {
             auto const sources =
                 sources_of(plans, "a", endpoint.agent, digest, chunk);
-            auto const lives = [&](std::string const& agent)
+            auto const is_alive = [&](std::string const& agent)
             {
                 return agent != importer;
             };
-            auto const source = choose_source(*sources, {lives, {}});
-            draws += endpoint.agent != importer && source.agent.empty() ? 1 : 0;
+            auto const source = choose_source(*sources, {is_alive, {}});
+            origin_fetches +=
+                endpoint.agent != importer && source.agent.empty() ? 1 : 0;
         }
-        EXPECT_EQ(draws, 1) << chunk;
+        EXPECT_EQ(origin_fetches, 1) << chunk;
     }
 }
 
--- a/libs/weights/tests/origin_schedule_tests.cpp
+++ b/libs/weights/tests/origin_schedule_tests.cpp
@@ -41,9 +41,9 @@
 
 } // namespace
 
-// Each of many agents draws a chunk of its own and keeps its connection. The
+// Each of many agents fetches a chunk of its own and keeps its connection. The
 // origin accepts 48, and the rest of the fleet misses the first copy.
-TEST(origin_schedule, few_agents_draw_whatever_the_size_of_the_fleet)
+TEST(origin_schedule, few_agents_fetch_from_the_origin_for_any_fleet_size)
 {
     for (std::size_t const agents : {1UL, 3UL, 24UL, 88UL, 300UL, 1500UL})
     {
@@ -58,7 +58,7 @@
     }
 }
 
-TEST(origin_schedule, drawers_stand_in_all_failure_domains)
+TEST(origin_schedule, fetchers_cover_all_failure_domains)
 {
     auto const schedule = schedule_of(88);
     std::map<char, int> by_domain;
@@ -70,9 +70,9 @@
     EXPECT_EQ(by_domain['a'], by_domain['c']);
 }
 
-// The drawer is dead, cut off or slow to start: its chunks must not wait for
-// it, and the whole fleet must not turn to the origin in its place.
-TEST(origin_schedule, others_draw_in_its_place_one_after_the_other)
+// The fetcher is dead, cut off or slow to start. Its chunks must not wait for
+// it, and the whole fleet must not fall back to the origin.
+TEST(origin_schedule, substitutes_fetch_one_after_the_other)
 {
     auto const schedule = schedule_of(88);
     for (std::uint32_t chunk = 0; chunk < chunk_count; ++chunk)
@@ -85,7 +85,8 @@
             ASSERT_TRUE(turn);
             ++turns[*turn];
             auto const slot = start + chunk * schedule.interval;
-            if (origin_fetch_time(schedule, *turn, chunk, start) <= slot + seconds(6))
+            if (origin_fetch_time(schedule, *turn, chunk, start) <=
+                slot + seconds(6))
             {
                 within.insert(agent);
             }
@@ -95,7 +96,7 @@
     }
 }
 
-TEST(origin_schedule, the_whole_copy_takes_the_time_of_the_origins_link)
+TEST(origin_schedule, a_full_copy_takes_the_time_of_the_origins_link)
 {
     auto const schedule = schedule_of(88);
     auto const last = origin_fetch_time(schedule, 0, chunk_count - 1, start);
@@ -103,9 +104,9 @@
     EXPECT_GE(last, start + milliseconds(1500));
 }
 
-// An agent starts late, in the middle of an outage of the origin or after a
-// loss of power. It leaves the others as much time as if all had just begun.
-TEST(origin_schedule, who_begins_late_gives_the_others_time)
+// An agent starts late, during an outage of the origin or after a loss of
+// power. It must leave the others as much time as if all had just begun.
+TEST(origin_schedule, an_agent_that_begins_late_gives_the_others_time)
 {
     auto const schedule = schedule_of(24);
     auto const late = start + seconds(20);
@@ -113,31 +114,33 @@
     EXPECT_LT(origin_fetch_time(schedule, 0, 5, late), late);
 }
 
-TEST(origin_schedule, the_manifest_is_asked_for_by_few_at_first)
+TEST(origin_schedule, few_agents_request_the_manifest_at_first)
 {
     auto const schedule = schedule_of(88);
     std::size_t at_once = 0;
-    std::size_t in_the_end = 0;
+    std::size_t eventually = 0;
     for (auto const& agent : schedule.order)
     {
         at_once += may_request_manifest(schedule, agent, start, start);
-        in_the_end +=
+        eventually +=
             may_request_manifest(schedule, agent, start, start + seconds(20));
     }
     EXPECT_EQ(at_once, schedule.domains);
-    EXPECT_EQ(in_the_end, 88U);
+    EXPECT_EQ(eventually, 88U);
 }
 
-TEST(origin_schedule, a_draw_that_hangs_is_given_up_and_then_given_more_time)
+TEST(origin_schedule, a_stalled_fetch_times_out_and_then_gets_more_time)
 {
     auto const schedule = schedule_of(88);
     EXPECT_LE(origin_fetch_timeout(schedule, 0), milliseconds(1300));
     EXPECT_GE(origin_fetch_timeout(schedule, 0), milliseconds(800));
-    EXPECT_EQ(origin_fetch_timeout(schedule, 1), 2 * origin_fetch_timeout(schedule, 0));
+    EXPECT_EQ(
+        origin_fetch_timeout(schedule, 1),
+        2 * origin_fetch_timeout(schedule, 0));
     EXPECT_LE(origin_fetch_timeout(schedule, 9), milliseconds(4000));
 }
 
-TEST(origin_schedule, one_that_is_in_no_list_has_no_turn)
+TEST(origin_schedule, an_agent_outside_the_schedule_has_no_turn)
 {
     EXPECT_FALSE(turn_of(schedule_of(24), "z", 3));
     EXPECT_TRUE(origin_fetcher_of({}, 3).empty());
--- a/libs/weights/tests/upload_queue_tests.cpp
+++ b/libs/weights/tests/upload_queue_tests.cpp
@@ -30,9 +30,9 @@
     EXPECT_EQ(queue.waiting_count, 0U);
 }
 
-// A peer that is out of its mind asks for chunk after chunk. The list of those
-// who wait must not grow with it.
-TEST(upload_queue, the_list_of_those_who_wait_is_bounded)
+// A faulty peer requests one chunk after the other. The number of waiting
+// requests must stay bounded.
+TEST(upload_queue, the_number_of_waiting_requests_is_bounded)
 {
     upload_queue queue;
     std::uint32_t taken = 0;
@@ -45,8 +45,8 @@
     EXPECT_TRUE(wait_for_chunk(queue, {"p", "d", 0}));
 }
 
-// A burst saturates a VM that answers callers by the same link. The cap holds
-// over a second, whatever is asked.
+// A burst saturates a VM that answers callers over the same link. Uploads must
+// stay below the limit over a second, whatever is requested.
 TEST(upload_queue, uploads_stay_below_the_cap)
 {
     upload_queue queue;
