--- a/libs/gateway/include/gateway/agent.hpp
+++ b/libs/gateway/include/gateway/agent.hpp
@@ -26,10 +26,11 @@
 class report_link;
 class store_watch;
 class version_fetch;
-class weights_door;
+class peer_weights_server;
 
-// The agent of one engine as a whole: it asks the engine how it is, tells the
-// entries, learns of versions, and brings the engine to them.
+// The agent of one engine. Polls the engine's state, reports it to the entries,
+// learns which model versions were announced, fetches their weights and
+// switches the engine to them.
 class agent_process : public std::enable_shared_from_this<agent_process>
 {
 public:
@@ -38,46 +39,51 @@
         settings_file& file,
         platform::settings const& given);
 
-    // An error text when an address cannot be listened on.
+    // Opens the listening addresses and begins the periodic work. Returns an
+    // error text when an address cannot be bound or the settings name no
+    // engine.
     std::optional<std::string> start();
 
-    // Ends what it does: its doors are closed and nothing new begins.
+    // Closes the listening sockets and cancels the timers; nothing new begins
+    // afterwards.
     void stop();
 
     kernel::metrics const& counters() const;
 
 private:
     void await_signal();
-    void run_chores();
+    void run_housekeeping();
     void poll_engine();
-    void take_report(std::optional<fetched> const& response);
-    // Watches the named versions while no entry tells them.
-    void watch_if_alone();
+    void update_engine(std::optional<fetched> const& response);
+    // Watches the announced versions in the platform's store while no entry
+    // subscribes to this agent's reports.
+    void watch_without_entries();
     void watch_versions();
     void end_watch();
-    void name_version(
+    void on_version_announced(
         std::string const& model,
         std::uint64_t version,
         std::chrono::steady_clock::time_point at);
-    void drive();
-    void fetch_between(std::uint64_t target);
-    bool is_half_there(std::uint64_t version) const;
+    void advance();
+    void fetch_intermediate_versions(std::uint64_t target);
+    bool is_half_complete(std::uint64_t version) const;
     void drop_old_versions();
 
     boost::asio::io_context& loop;
     settings_file& file;
     std::shared_ptr<agent_context> context;
-    std::shared_ptr<weights_door> door;
+    std::shared_ptr<peer_weights_server> weights_server;
     std::shared_ptr<version_fetch> fetcher;
     std::shared_ptr<engine_switch> switcher;
     std::shared_ptr<report_link> reports;
     std::shared_ptr<fleet_lists> lists;
     std::shared_ptr<store_watch> versions_watch;
-    // Since when no entry has asked for reports.
-    std::optional<base::time_point> alone_since;
+    // Time since which no entry has subscribed to reports; empty while one
+    // does.
+    std::optional<base::time_point> without_entries_since;
     boost::asio::signal_set signals;
     boost::asio::steady_timer report_timer;
-    boost::asio::steady_timer chore_timer;
+    boost::asio::steady_timer housekeeping_timer;
     bool stopped = false;
 };
 
--- a/libs/gateway/include/gateway/agent_process.hpp
+++ b/libs/gateway/include/gateway/agent_process.hpp
@@ -6,11 +6,11 @@
 namespace foxtailvale::gateway
 {
 
-// Runs the agent of one engine on the platform that wrote the settings file;
-// returns the exit code when it was stopped.
+// Runs the agent of one engine with the settings file that the platform wrote.
+// Blocks until the process is stopped and returns the exit code.
 int run_agent(std::string const& settings_path);
 
-// Tells all faults of the settings file on standard error; returns the exit
+// Prints all errors of the settings file to standard error and returns the exit
 // code.
 int check_agent(std::string const& settings_path);
 
--- a/libs/gateway/include/gateway/settings_file.hpp
+++ b/libs/gateway/include/gateway/settings_file.hpp
@@ -9,18 +9,20 @@
 namespace foxtailvale::gateway
 {
 
-// The settings file of a process, read again when it changes: at SIGHUP and
-// when another look finds other text, since files may change without a signal.
+// The settings file of a process. It is read again at SIGHUP and periodically,
+// because the file may change without a signal.
 class settings_file
 {
 public:
     explicit settings_file(std::string path);
 
-    // Reads the file; bad_settings with all faults.
+    // Reads and parses the file. Fails with bad_settings, which lists all
+    // errors found.
     base::result<platform::settings> read();
 
-    // Reads the file if its text is another than before. Nothing when it is
-    // not or when the new text has faults, which are logged.
+    // Reads the file and parses it if its text has changed since the last read.
+    // Returns nothing when it has not changed, cannot be read or is empty, or
+    // has errors, which are logged.
     std::optional<platform::settings> read_changed();
 
 private:
--- a/libs/gateway/src/agent.cpp
+++ b/libs/gateway/src/agent.cpp
@@ -2,9 +2,9 @@
 #include "engine_switch.hpp"
 #include "fetch.hpp"
 #include "fleet_lists.hpp"
+#include "peer_weights_server.hpp"
 #include "report_link.hpp"
 #include "version_fetch.hpp"
-#include "weights_door.hpp"
 
 #include <gateway/agent.hpp>
 #include <gateway/store_watch.hpp>
@@ -23,17 +23,19 @@
 using std::chrono::milliseconds;
 using clock = std::chrono::steady_clock;
 
-// The engine is asked, and entries are told, this often: entries place by these
-// figures, and a full engine ends a request about as often.
+// Interval between polls of the engine and between reports to the entries.
+// Entries place requests by these figures, and a full engine finishes a request
+// about this often.
 constexpr milliseconds report_interval{100};
-constexpr milliseconds report_limit{500};
-constexpr milliseconds chore_interval{1000};
+constexpr milliseconds report_timeout{500};
+constexpr milliseconds housekeeping_interval{1000};
 
-// Entries say with each subscription, once a second, which versions are named.
-// An agent that no entry reaches for this long watches them itself. Failure:
-// every agent watched, and their calls were a third of all calls to the store.
-constexpr milliseconds alone_patience{1900};
-constexpr milliseconds versions_wait{20000};
+// Entries list the announced versions in each subscription, which they renew
+// once a second. An agent that has had no subscription for this long watches
+// the versions itself. Failure: when every agent watched, their calls were a
+// third of all calls to the store.
+constexpr milliseconds watch_delay{1900};
+constexpr milliseconds watch_timeout{20000};
 
 } // namespace
 
@@ -43,36 +45,36 @@
     platform::settings const& given)
     : loop(event_loop), file(settings_source),
       context(std::make_shared<agent_context>(event_loop, given)),
-      door(std::make_shared<weights_door>(this->context)),
+      weights_server(std::make_shared<peer_weights_server>(this->context)),
       fetcher(std::make_shared<version_fetch>(this->context)),
       switcher(std::make_shared<engine_switch>(this->context)),
       reports(std::make_shared<report_link>(this->context)),
       lists(std::make_shared<fleet_lists>(this->context)),
       signals(event_loop, SIGTERM, SIGINT, SIGHUP), report_timer(event_loop),
-      chore_timer(event_loop)
+      housekeeping_timer(event_loop)
 {
     this->fetcher->on_progress = [this]
     {
-        this->door->serve_waiting();
-        this->drive();
+        this->weights_server->answer_pending();
+        this->advance();
     };
     this->switcher->on_step = [this]
     {
-        this->drive();
+        this->advance();
     };
     this->switcher->on_order = [this]
     {
-        this->reports->tell(true);
+        this->reports->send_reports(true);
     };
     this->lists->on_read = [this]
     {
-        this->drive();
+        this->advance();
     };
     this->lists->ask_entry = [this](std::uint64_t token, std::uint32_t tries)
     {
-        return this->reports->ask_fleet(token, tries);
+        return this->reports->request_fleet(token, tries);
     };
-    this->reports->on_fleet = [this](wire::FleetNotice const& notice)
+    this->reports->on_fleet_notice = [this](wire::FleetNotice const& notice)
     {
         this->lists->take_notice(notice);
     };
@@ -80,7 +82,7 @@
                                     std::string const& model,
                                     std::uint64_t version, base::time_point at)
     {
-        this->name_version(model, version, at);
+        this->on_version_announced(model, version, at);
     };
 }
 
@@ -88,9 +90,9 @@
 {
     if (this->context->settings.engine_address.empty())
     {
-        return "the settings name no engine";
+        return "the settings specify no engine address";
     }
-    if (auto const fault = this->door->open())
+    if (auto const fault = this->weights_server->open())
     {
         return "peers' address: " + *fault;
     }
@@ -99,7 +101,7 @@
         return "peers' address: " + *fault;
     }
     this->await_signal();
-    this->run_chores();
+    this->run_housekeeping();
     this->poll_engine();
     return std::nullopt;
 }
@@ -107,11 +109,11 @@
 void agent_process::stop()
 {
     this->stopped = true;
-    this->door->stop();
+    this->weights_server->stop();
     this->reports->close();
     this->end_watch();
     this->report_timer.cancel();
-    this->chore_timer.cancel();
+    this->housekeeping_timer.cancel();
     this->signals.cancel();
 }
 
@@ -132,18 +134,18 @@
             }
             if (signal == SIGHUP)
             {
-                self->run_chores();
+                self->run_housekeeping();
                 self->await_signal();
                 return;
             }
-            // Nothing runs here that would have to end first: chunks under
-            // way are asked for elsewhere, and the engine goes on.
+            // Nothing here has to finish before the process ends: peers request
+            // the chunks in transit elsewhere, and the engine keeps serving.
             kernel::log_event(kernel::event_id::process_stopped);
             self->loop.stop();
         });
 }
 
-void agent_process::run_chores()
+void agent_process::run_housekeeping()
 {
     if (auto const changed = this->file.read_changed())
     {
@@ -152,15 +154,15 @@
             kernel::event_id::settings_reloaded, {{"node", changed->name}});
     }
     this->context->pool.sweep();
-    this->reports->forget_silent();
-    this->watch_if_alone();
-    this->chore_timer.expires_after(chore_interval);
-    this->chore_timer.async_wait(
+    this->reports->remove_expired_subscribers();
+    this->watch_without_entries();
+    this->housekeeping_timer.expires_after(housekeeping_interval);
+    this->housekeeping_timer.async_wait(
         [self = this->shared_from_this()](boost::system::error_code error)
         {
             if (!error)
             {
-                self->run_chores();
+                self->run_housekeeping();
             }
         });
 }
@@ -170,18 +172,18 @@
     auto const self = this->shared_from_this();
     fetch(
         this->loop, this->context->pool, this->context->settings.engine_address,
-        platform::report_request(), report_limit,
+        platform::report_request(), report_timeout,
         [self](std::optional<fetched> response)
         {
             if (self->stopped)
             {
                 return;
             }
-            self->take_report(response);
-            self->reports->tell(false);
-            self->door->end_stuck();
-            self->door->serve_waiting();
-            self->drive();
+            self->update_engine(response);
+            self->reports->send_reports(false);
+            self->weights_server->abort_stalled_sends();
+            self->weights_server->answer_pending();
+            self->advance();
         });
     this->report_timer.expires_after(report_interval);
     this->report_timer.async_wait(
@@ -194,48 +196,50 @@
         });
 }
 
-void agent_process::take_report(std::optional<fetched> const& response)
+void agent_process::update_engine(std::optional<fetched> const& response)
 {
     auto& state = *this->context;
     auto read = response && response->status == 200
                     ? platform::read_report(response->body)
                     : base::fail(base::error_kind::endpoint_lost);
-    auto const was_there = state.engine.has_value();
+    auto const was_reachable = state.engine.has_value();
     if (read.has_error())
     {
         state.engine.reset();
-        if (was_there)
+        if (was_reachable)
         {
             kernel::log_error(
                 read.error(), {{"status", response ? response->status : 0}});
         }
         return;
     }
-    auto const restarted = was_there && state.engine->born != read.value().born;
+    auto const restarted = was_reachable && state.engine->engine_start_ms !=
+                                                read.value().engine_start_ms;
     if (restarted)
     {
         kernel::log_event(
             kernel::event_id::engine_turned_cold,
-            {{"born", read.value().born}});
+            {{"born", read.value().engine_start_ms}});
         state.switching = false;
     }
     state.engine = read.value();
 }
 
-void agent_process::watch_if_alone()
+void agent_process::watch_without_entries()
 {
     if (this->reports->has_entries())
     {
-        this->alone_since.reset();
+        this->without_entries_since.reset();
         this->end_watch();
         return;
     }
     auto const now = clock::now();
-    if (!this->alone_since)
+    if (!this->without_entries_since)
     {
-        this->alone_since = now;
+        this->without_entries_since = now;
     }
-    if (!this->versions_watch && now - *this->alone_since >= alone_patience)
+    if (!this->versions_watch &&
+        now - *this->without_entries_since >= watch_delay)
     {
         this->watch_versions();
     }
@@ -258,14 +262,15 @@
         auto const read = platform::read_version(object.content);
         if (!object.removed && read)
         {
-            self->name_version(read->model, read->version, clock::now());
+            self->on_version_announced(
+                read->model, read->version, clock::now());
         }
     };
     watch_settings chosen;
     chosen.store = net::parse_endpoint(this->context->settings.store_address)
                        .value_or(net::tcp_endpoint());
     chosen.kind = platform::object_kind::versions;
-    chosen.wait = versions_wait;
+    chosen.wait = watch_timeout;
     chosen.seed = base::next_random(this->context->random);
     this->versions_watch = std::make_shared<store_watch>(
         this->loop, chosen,
@@ -293,10 +298,10 @@
     this->versions_watch->start();
 }
 
-void agent_process::name_version(
+void agent_process::on_version_announced(
     std::string const& model, std::uint64_t version, base::time_point at)
 {
-    if (!note_named(*this->context, model, {version, at}))
+    if (!add_announced_version(*this->context, model, {version, at}))
     {
         return;
     }
@@ -306,17 +311,17 @@
          {"version", version},
          {"age_ms", std::chrono::duration_cast<milliseconds>(clock::now() - at)
                         .count()}});
-    this->drive();
+    this->advance();
 }
 
-void agent_process::drive()
+void agent_process::advance()
 {
     auto& state = *this->context;
     if (this->stopped || !state.engine)
     {
         return;
     }
-    note_whole(state, clock::now());
+    record_complete_versions(state, clock::now());
     auto const target = next_version(state, clock::now());
     auto const newest = newest_version(state);
     auto const serving = serving_version(state);
@@ -329,42 +334,44 @@
         return;
     }
     this->drop_old_versions();
-    this->fetcher->drive(newest, false);
-    // What lies staged is looked at first. Failure: all processes are killed,
-    // and every agent asks others and the origin for chunks that lie beside its
-    // own engine; links that callers' answers need are full for two seconds.
-    auto const may_lie_staged = serving == 0 || serving == target;
-    if (state.versions[target].manifest && may_lie_staged &&
+    this->fetcher->advance(newest, false);
+    // Chunks that are staged beside the engine are read back before any chunk
+    // is requested. Failure: after all processes were killed, every agent
+    // requested from its peers and the origin the chunks that were still staged
+    // beside its own engine, and links that callers' answers need were full for
+    // two seconds.
+    auto const may_be_staged = serving == 0 || serving == target;
+    if (state.versions[target].manifest && may_be_staged &&
         !this->switcher->has_recovered(target))
     {
         this->switcher->recover(target);
         return;
     }
-    this->fetcher->drive(newest, serving < newest);
-    this->fetch_between(target);
-    this->switcher->drive(target);
+    this->fetcher->advance(newest, serving < newest);
+    this->fetch_intermediate_versions(target);
+    this->switcher->advance(target);
 }
 
-void agent_process::fetch_between(std::uint64_t target)
+void agent_process::fetch_intermediate_versions(std::uint64_t target)
 {
     auto const& state = *this->context;
     auto const serving = serving_version(state);
     auto const newest = newest_version(state);
-    for (auto const& between : targets_of(state))
+    for (auto const& intermediate : announced_versions(state))
     {
-        auto const version = between.version;
+        auto const version = intermediate.version;
         if (version > serving && version < newest &&
-            (version == target || this->is_half_there(version)))
+            (version == target || this->is_half_complete(version)))
         {
-            this->fetcher->drive(version, true);
+            this->fetcher->advance(version, true);
         }
     }
 }
 
-bool agent_process::is_half_there(std::uint64_t version) const
+bool agent_process::is_half_complete(std::uint64_t version) const
 {
-    // The rest of it comes from other agents soon; it serves when the newest
-    // does not come.
+    // The other half will soon come from peers, and the version can serve if
+    // the newest one does not arrive.
     auto const found = this->context->versions.find(version);
     return found != this->context->versions.end() && found->second.manifest &&
            found->second.transfer.held * 2 >=
@@ -373,17 +380,18 @@
 
 void agent_process::drop_old_versions()
 {
-    // The one before the newest may still be on its way to slower agents.
-    constexpr std::size_t most_held = 3;
+    // The version before the newest may still be needed by slower agents.
+    constexpr std::size_t max_held = 3;
     auto& held = this->context->versions;
-    // One that an order may still load stays beside them. Failure: it went
-    // after several namings in a row, and other chunks were put over those that
-    // the order was for.
-    auto extra = held.size() - std::min(held.size(), most_held);
-    for (auto oldest = held.begin(); extra > 0; --extra)
+    // A version that an unanswered order may still load is kept in addition.
+    // Failure: after several announcements in a row it was dropped, and other
+    // chunks were staged over those that the order was for.
+    auto excess = held.size() - std::min(held.size(), max_held);
+    for (auto oldest = held.begin(); excess > 0; --excess)
     {
-        oldest = this->switcher->needs(oldest->first) ? std::next(oldest)
-                                                      : held.erase(oldest);
+        oldest = this->switcher->may_still_load(oldest->first)
+                     ? std::next(oldest)
+                     : held.erase(oldest);
     }
 }
 
--- a/libs/gateway/src/agent_context.cpp
+++ b/libs/gateway/src/agent_context.cpp
@@ -24,12 +24,12 @@
     state.origin_bounds = served.limits;
 }
 
-bool note_named(
+bool add_announced_version(
     agent_context& state,
     std::string const& model,
     weights::named_target const& target)
 {
-    auto& known = state.named[model];
+    auto& known = state.announced[model];
     if (!known.empty() && known.back().version >= target.version)
     {
         return false;
@@ -38,16 +38,17 @@
     return true;
 }
 
-std::vector<weights::named_target> const& targets_of(agent_context const& state)
+std::vector<weights::named_target> const&
+announced_versions(agent_context const& state)
 {
     static std::vector<weights::named_target> const none;
-    auto const found = state.named.find(state.model);
-    return found == state.named.end() ? none : found->second;
+    auto const found = state.announced.find(state.model);
+    return found == state.announced.end() ? none : found->second;
 }
 
 std::uint64_t newest_version(agent_context const& state)
 {
-    auto const& targets = targets_of(state);
+    auto const& targets = announced_versions(state);
     return targets.empty() ? 1 : targets.back().version;
 }
 
@@ -64,7 +65,7 @@
 expected_switch(agent_context const& state, base::time_point now)
 {
     // Requests run for less than this.
-    constexpr std::chrono::milliseconds notice{2500};
+    constexpr std::chrono::milliseconds notice_period{2500};
     auto const ask = switch_ask_of(state, now);
     auto const target = next_version(state, now);
     if (ask.serving == 0 || ask.serving >= target)
@@ -77,19 +78,20 @@
         return std::nullopt;
     }
     auto const at = weights::switch_turn(ask, target);
-    return at - now <= notice ? std::optional(at) : std::nullopt;
+    return at - now <= notice_period ? std::optional(at) : std::nullopt;
 }
 
 std::vector<weights::chunk_source>
-holders_of(agent_context const& state, std::uint64_t version)
+chunk_holders(agent_context const& state, std::uint64_t version)
 {
     auto const found = state.holders.find(version);
     if (found == state.holders.end())
     {
         return {};
     }
-    // During a burst the first few that serve would be asked by all the others;
-    // the forest spreads that load. They are asked once they are the half.
+    // The first few agents that serve a version during a burst would be asked
+    // by all the others; the forest of transfer trees spreads that load
+    // instead. They are used once they make up half of the failure domain.
     auto const own = found->second.find(state.settings.failure_domain);
     auto const plan = state.fleet.find(state.settings.failure_domain);
     if (own != found->second.end() && plan != state.fleet.end() &&
@@ -101,24 +103,25 @@
 }
 
 weights::draw_schedule
-draws_of(agent_context const& state, std::uint64_t version)
+origin_fetch_schedule(agent_context const& state, std::uint64_t version)
 {
-    // Until a manifest says otherwise.
-    constexpr std::uint32_t usual_chunk = 32 * 1024;
+    // Used until the manifest is known.
+    constexpr std::uint32_t default_chunk_bytes = 32 * 1024;
     auto const found = state.versions.find(version);
     auto const known = found != state.versions.end();
     auto const bytes = known && found->second.manifest
                            ? found->second.manifest->chunk_bytes
-                           : usual_chunk;
-    auto start = known ? found->second.wanted.value_or(base::time_point())
+                           : default_chunk_bytes;
+    auto start = known ? found->second.wanted_since.value_or(base::time_point())
                        : base::time_point();
-    // Agents learn of a version at different times; it was named at one.
-    auto const& targets = targets_of(state);
-    auto const named =
+    // Agents learn of a version at different times, but all know the time at
+    // which it was announced.
+    auto const& targets = announced_versions(state);
+    auto const announcement =
         std::ranges::find(targets, version, &weights::named_target::version);
-    if (named != targets.end())
+    if (announcement != targets.end())
     {
-        start = named->named;
+        start = announcement->named;
     }
     return weights::plan_draws(state.fleet, state.origin_bounds, bytes, start);
 }
@@ -126,40 +129,42 @@
 std::uint64_t next_version(agent_context const& state, base::time_point now)
 {
     auto const ask = switch_ask_of(state, now);
-    auto const to_come = [&state](std::uint64_t version) -> std::size_t
+    auto const missing_chunks = [&state](std::uint64_t version) -> std::size_t
     {
-        constexpr std::size_t unknown = 64;
+        constexpr std::size_t assumed_missing = 64;
         auto const found = state.versions.find(version);
         if (found == state.versions.end() || !found->second.manifest)
         {
-            return unknown;
+            return assumed_missing;
         }
         auto const& transfer = found->second.transfer;
         return transfer.digests.size() - transfer.held;
     };
-    return weights::fall_back(ask, weights::choose_target(ask), to_come, now);
+    return weights::fall_back(
+        ask, weights::choose_target(ask), missing_chunks, now);
 }
 
-void note_whole(agent_context& state, base::time_point now)
+void record_complete_versions(agent_context& state, base::time_point now)
 {
-    // An agent that was there when the version was named.
-    constexpr std::chrono::milliseconds soon{1500};
-    auto const& targets = targets_of(state);
+    // A longer delay means that the agent was not running when the version was
+    // announced, so its transfer time is not representative.
+    constexpr std::chrono::milliseconds max_announcement_delay{1500};
+    auto const& targets = announced_versions(state);
     for (auto& [version, held] : state.versions)
     {
-        if (held.whole || !weights::is_whole(held.transfer))
+        if (held.complete_at || !weights::is_whole(held.transfer))
         {
             continue;
         }
-        held.whole = now;
-        auto const named = std::ranges::find(
+        held.complete_at = now;
+        auto const announcement = std::ranges::find(
             targets, version, &weights::named_target::version);
-        if (named != targets.end() && held.wanted &&
-            *held.wanted - named->named < soon)
+        if (announcement != targets.end() && held.wanted_since &&
+            *held.wanted_since - announcement->named < max_announcement_delay)
         {
-            state.arrival =
+            state.last_transfer_time =
                 std::chrono::duration_cast<std::chrono::milliseconds>(
-                    now - named->named);
+                    now - announcement->named);
         }
     }
 }
@@ -167,8 +172,9 @@
 namespace
 {
 
-// When the version was whole here or will be, as far as its chunks tell.
-std::optional<base::time_point> whole_at(
+// When the version became complete here, or an estimate of when it will be,
+// from the number of missing chunks and the duration of the last transfer.
+std::optional<base::time_point> completion_time(
     agent_context const& state, std::uint64_t version, base::time_point now)
 {
     auto const found = state.versions.find(version);
@@ -177,18 +183,18 @@
         return std::nullopt;
     }
     auto const& held = found->second;
-    if (held.whole)
+    if (held.complete_at)
     {
-        return held.whole;
+        return held.complete_at;
     }
     auto const missing = held.transfer.digests.size() - held.transfer.held;
     auto at = now + weights::chunk_time * static_cast<int>(missing);
-    auto const& targets = targets_of(state);
-    auto const named =
+    auto const& targets = announced_versions(state);
+    auto const announcement =
         std::ranges::find(targets, version, &weights::named_target::version);
-    if (named != targets.end() && state.arrival)
+    if (announcement != targets.end() && state.last_transfer_time)
     {
-        at = std::max(at, named->named + *state.arrival);
+        at = std::max(at, announcement->named + *state.last_transfer_time);
     }
     return at;
 }
@@ -200,12 +206,12 @@
 {
     weights::switch_ask ask;
     ask.serving = serving_version(state);
-    ask.targets = targets_of(state);
+    ask.targets = announced_versions(state);
     ask.bound = state.settings.promised.version;
-    ask.arrival = state.arrival;
+    ask.arrival = state.last_transfer_time;
     ask.whole = [&state, now](std::uint64_t version)
     {
-        return whole_at(state, version, now);
+        return completion_time(state, version, now);
     };
     auto const found = state.fleet.find(state.settings.failure_domain);
     if (found != state.fleet.end())
--- a/libs/gateway/src/agent_context.hpp
+++ b/libs/gateway/src/agent_context.hpp
@@ -27,21 +27,23 @@
 {
     std::optional<platform::version_manifest> manifest;
     weights::chunk_transfer transfer;
-    // Being asked for; tries so far and when the next may begin.
+    // Whether a manifest request is in flight, how many have failed, and when
+    // the next may be sent.
     bool manifest_pending = false;
     std::uint32_t manifest_tries = 0;
-    // Who was asked last: "origin" or another agent.
+    // Source of the last manifest request: "origin" or a peer's address.
     std::string manifest_source;
-    base::time_point manifest_again;
-    // When this agent first wanted the version.
-    std::optional<base::time_point> wanted;
-    // When all chunks were there.
-    std::optional<base::time_point> whole;
-    // When a chunk last came, or its absence was last told.
-    base::time_point last_news;
+    base::time_point next_manifest_try;
+    // When this agent first needed the version.
+    std::optional<base::time_point> wanted_since;
+    // When the last missing chunk arrived.
+    std::optional<base::time_point> complete_at;
+    // When a chunk last arrived, or the missing chunks were last logged.
+    base::time_point last_progress;
 };
 
-// What the parts of one agent share. Used from the loop only.
+// State shared by the components of one agent. Used only from the event loop's
+// thread.
 struct agent_context
 {
     boost::asio::io_context& loop;
@@ -50,92 +52,96 @@
     kernel::metrics counters;
     base::random_state random;
 
-    // The model that the engine's service serves; empty while unknown.
+    // The model that the engine's service serves; empty until known.
     std::string model;
-    // Versions that were named, oldest first, by model.
-    std::map<std::string, std::vector<weights::named_target>> named;
-    // "IP:PORT" of the origin, empty while unknown.
+    // Announced versions by model, oldest first.
+    std::map<std::string, std::vector<weights::named_target>> announced;
+    // Address of the origin as "IP:PORT"; empty until known.
     std::string origin;
     weights::origin_limits origin_bounds;
     // Agents beside engines of the same service, by failure domain.
     weights::plan_set fleet;
-    // When they were last listed.
+    // When the fleet was last listed.
     base::time_point fleet_listed_at;
 
-    // Agents whose engine serves a version whole, by version and domain.
+    // Agents whose engine serves a version completely, by version and failure
+    // domain.
     std::map<
         std::uint64_t,
         std::map<std::string, std::vector<weights::chunk_source>>>
         holders;
 
-    // What the engine last said, while it answers.
+    // The engine's last report; empty while it does not answer.
     std::optional<platform::engine_report> engine;
-    // An order of ours is on its way or being carried out.
+    // Whether an order from this agent is in flight or being carried out.
     bool switching = false;
 
-    // By version.
+    // Held versions and their transfers, by version number.
     std::map<std::uint64_t, held_version> versions;
     weights::source_book sources;
-    // Time from the naming of a version until it was whole here, as last seen.
-    std::optional<std::chrono::milliseconds> arrival;
+    // Time from the announcement of a version until it was complete here, as
+    // measured for the last one.
+    std::optional<std::chrono::milliseconds> last_transfer_time;
 
-    // Versions before this one are not held any more.
+    // The oldest held version, zero when none is held; versions before it have
+    // been dropped.
     std::uint64_t oldest_held() const;
 
     agent_context(
         boost::asio::io_context& event_loop, platform::settings given);
 };
 
-// What the configuration says of the engine's service.
+// What the configuration says about the engine's service.
 struct served_model
 {
     std::string model;
-    // "IP:PORT" of the origin.
+    // Address of the origin as "IP:PORT".
     std::string origin;
     weights::origin_limits limits;
 };
 
 void note_served(agent_context& state, served_model const& served);
 
-// Takes a version in that operators named; false when it is not newer than
-// those known.
-bool note_named(
+// Records a version that operators announced. Returns false when it is not
+// newer than those already known.
+bool add_announced_version(
     agent_context& state,
     std::string const& model,
     weights::named_target const& target);
 
-// Named versions of the engine's model, oldest first.
+// Announced versions of the engine's model, oldest first.
 std::vector<weights::named_target> const&
-targets_of(agent_context const& state);
+announced_versions(agent_context const& state);
 
-// The newest named version; the first when none was named.
+// The newest announced version; 1 when none was announced.
 std::uint64_t newest_version(agent_context const& state);
 
-// The version that the engine serves whole; zero when it serves none.
+// The version that the engine serves completely; zero when it serves none.
 std::uint64_t serving_version(agent_context const& state);
 
-// When the engine will take nothing new because it switches; nothing when that
-// is not near. Told to entries ahead, so that they send only what will have
-// ended by then.
+// When the engine will stop accepting requests for a version switch; empty when
+// no switch is near. Reported to the entries in advance, so that they send only
+// requests that will have finished by then.
 std::optional<base::time_point>
 expected_switch(agent_context const& state, base::time_point now);
 
-// Agents of the own failure domain to ask for chunks of a version that half of
-// them serve already; none for a version that is still on its way to most.
+// Peers in the agent's own failure domain that can be asked for chunks of a
+// version, once at least half of them serve it; empty while most of them are
+// still receiving it.
 std::vector<weights::chunk_source>
-holders_of(agent_context const& state, std::uint64_t version);
+chunk_holders(agent_context const& state, std::uint64_t version);
 
-// Who draws the version's chunks from the origin, and when.
+// Which agents fetch the version's chunks from the origin, and when.
 weights::draw_schedule
-draws_of(agent_context const& state, std::uint64_t version);
+origin_fetch_schedule(agent_context const& state, std::uint64_t version);
 
-// The version that the engine goes to next, as things stand here.
+// The version that the engine should switch to next, given what is held now.
 std::uint64_t next_version(agent_context const& state, base::time_point now);
 
-// Notes which versions have become whole.
-void note_whole(agent_context& state, base::time_point now);
+// Records the time for each version that has become complete.
+void record_complete_versions(agent_context& state, base::time_point now);
 
-// What the decisions on switching go by.
+// Input for the decisions about version switches.
 weights::switch_ask
 switch_ask_of(agent_context const& state, base::time_point now);
 
--- a/libs/gateway/src/agent_process.cpp
+++ b/libs/gateway/src/agent_process.cpp
@@ -19,7 +19,7 @@
         {
             if (read.engine_address.empty())
             {
-                return "the settings name no engine";
+                return "the settings specify no engine address";
             }
             return std::nullopt;
         });
--- a/libs/gateway/src/answer_status.hpp
+++ b/libs/gateway/src/answer_status.hpp
@@ -4,8 +4,8 @@
 namespace foxtailvale::gateway
 {
 
-// Statuses that promise "not run"; an endpoint that says one of them without
-// saying so in its own way has made no such promise.
+// Statuses that tell a caller that the request was not run. An endpoint that
+// returns one of them without its own not-run field has not made that promise.
 inline bool promises_not_run(unsigned status)
 {
     return status == 408 || status == 421 || status == 429 || status == 503;
--- a/libs/gateway/src/engine_switch.cpp
+++ b/libs/gateway/src/engine_switch.cpp
@@ -14,11 +14,11 @@
 using std::chrono::milliseconds;
 using clock = std::chrono::steady_clock;
 
-// A call to the engine on the same machine.
-constexpr milliseconds local_limit{1000};
+// Time limit of a call to the engine on the same machine.
+constexpr milliseconds engine_timeout{1000};
 
-// The engine's report shows an order some time after it was accepted.
-constexpr milliseconds order_pause{300};
+// The engine's report shows an order only some time after it was accepted.
+constexpr milliseconds order_retry_delay{300};
 
 } // namespace
 
@@ -27,34 +27,34 @@
 {
 }
 
-void engine_switch::forget_staged()
+void engine_switch::reset_staged()
 {
     this->staged.clear();
-    this->staged_whole.reset();
-    this->recovered = 0;
+    this->staged_complete_at.reset();
+    this->recovered_version = 0;
     this->verifying = false;
-    this->unanswered = false;
+    this->order_unanswered = false;
 }
 
 bool engine_switch::has_unanswered_order() const
 {
     auto const& state = *this->context;
     auto const held = state.versions.find(this->staged_version);
-    return this->unanswered && state.engine &&
-           state.engine->born == this->born &&
+    return this->order_unanswered && state.engine &&
+           state.engine->engine_start_ms == this->engine_start_ms &&
            serving_version(state) < this->staged_version &&
            held != state.versions.end() && held->second.manifest;
 }
 
-bool engine_switch::needs(std::uint64_t version) const
+bool engine_switch::may_still_load(std::uint64_t version) const
 {
     return this->staged_version == version && this->has_unanswered_order();
 }
 
 bool engine_switch::has_recovered(std::uint64_t version) const
 {
-    return this->recovered == version && this->context->engine &&
-           this->context->engine->born == this->born;
+    return this->recovered_version == version && this->context->engine &&
+           this->context->engine->engine_start_ms == this->engine_start_ms;
 }
 
 void engine_switch::recover(std::uint64_t version)
@@ -66,21 +66,21 @@
     }
     if (this->has_unanswered_order())
     {
-        this->drive(this->staged_version);
+        this->advance(this->staged_version);
         return;
     }
-    if (state.engine->born != this->born)
+    if (state.engine->engine_start_ms != this->engine_start_ms)
     {
-        // A restarted engine may have lost what was staged.
-        this->born = state.engine->born;
-        this->forget_staged();
+        // A restarted engine may have lost its staged chunks.
+        this->engine_start_ms = state.engine->engine_start_ms;
+        this->reset_staged();
     }
     this->staged_version = version;
     this->staged.clear();
     this->recovering = true;
     fetch(
         state.loop, state.pool, state.settings.engine_address,
-        platform::staged_list_request(state.model), local_limit,
+        platform::staged_list_request(state.model), engine_timeout,
         [self = this->shared_from_this()](std::optional<fetched> response)
         {
             auto read = response && response->status == 200
@@ -98,7 +98,7 @@
     if (this->to_recover.empty())
     {
         this->recovering = false;
-        this->recovered = this->staged_version;
+        this->recovered_version = this->staged_version;
         this->on_step();
         return;
     }
@@ -106,7 +106,7 @@
     this->to_recover.pop_back();
     fetch(
         state.loop, state.pool, state.settings.engine_address,
-        platform::staged_request(state.model, index), local_limit,
+        platform::staged_request(state.model, index), engine_timeout,
         [self = this->shared_from_this(),
          index](std::optional<fetched> response)
         {
@@ -121,10 +121,10 @@
         });
 }
 
-void engine_switch::drive(std::uint64_t wanted)
+void engine_switch::advance(std::uint64_t wanted)
 {
     auto& state = *this->context;
-    this->settle();
+    this->settle_order();
     auto const version =
         this->has_unanswered_order() ? this->staged_version : wanted;
     if (!state.engine || state.switching || state.engine->busy ||
@@ -132,23 +132,24 @@
     {
         return;
     }
-    if (state.engine->born != this->born || this->staged_version != version)
+    if (state.engine->engine_start_ms != this->engine_start_ms ||
+        this->staged_version != version)
     {
-        this->born = state.engine->born;
-        this->forget_staged();
+        this->engine_start_ms = state.engine->engine_start_ms;
+        this->reset_staged();
         this->staged_version = version;
     }
-    this->note_plan(version);
+    this->log_plan_change(version);
     this->stage_next();
     auto const& held = state.versions[version];
     if (!held.manifest || this->staged.size() < held.manifest->digests.size())
     {
-        this->staged_whole.reset();
+        this->staged_complete_at.reset();
         return;
     }
-    if (!this->staged_whole)
+    if (!this->staged_complete_at)
     {
-        this->staged_whole = clock::now();
+        this->staged_complete_at = clock::now();
     }
     if (clock::now() >=
         weights::switch_turn(switch_ask_of(state, clock::now()), version))
@@ -176,7 +177,7 @@
         fetch(
             state.loop, state.pool, state.settings.engine_address,
             platform::stage_request(state.model, index, *chunks[index]),
-            local_limit,
+            engine_timeout,
             [self = this->shared_from_this(), index,
              version](std::optional<fetched> response)
             {
@@ -195,13 +196,13 @@
 void engine_switch::verify()
 {
     if (this->verifying || this->ordering || this->staging ||
-        clock::now() < this->order_again)
+        clock::now() < this->next_order_at)
     {
         return;
     }
     this->verifying = true;
-    this->look_began = clock::now();
-    this->verified = 0;
+    this->verify_began = clock::now();
+    this->verified_chunks = 0;
     this->verify_next();
 }
 
@@ -210,7 +211,7 @@
     auto& state = *this->context;
     auto const version = this->staged_version;
     auto const& digests = state.versions[version].manifest->digests;
-    auto const index = this->verified;
+    auto const index = this->verified_chunks;
     if (index == digests.size())
     {
         this->verifying = false;
@@ -219,7 +220,7 @@
     }
     fetch(
         state.loop, state.pool, state.settings.engine_address,
-        platform::staged_request(state.model, index), local_limit,
+        platform::staged_request(state.model, index), engine_timeout,
         [self = this->shared_from_this(), index, version,
          digest = digests[index]](std::optional<fetched> response)
         {
@@ -232,12 +233,12 @@
                               base::sha256_hex(response->body) == digest;
             if (good)
             {
-                ++self->verified;
+                ++self->verified_chunks;
                 self->verify_next();
                 return;
             }
-            // What lies staged is not what was put there: put it again, and
-            // look at all of it again before the order.
+            // The staged chunk is corrupt: stage it again, and verify all
+            // chunks again before the order.
             self->staged.erase(index);
             self->verifying = false;
             self->context->counters.count(
@@ -250,24 +251,24 @@
 {
     auto& state = *this->context;
     auto const version = this->staged_version;
-    if (!state.engine || state.engine->born != this->born)
+    if (!state.engine || state.engine->engine_start_ms != this->engine_start_ms)
     {
         return;
     }
     this->ordering = true;
-    this->unanswered = true;
+    this->order_unanswered = true;
     state.switching = true;
     this->on_order();
-    this->ordered = this->plan;
+    this->plan_at_order = this->plan;
     this->ordered_at = clock::now();
     auto sent = this->order_fields();
     sent["orders"] = state.engine->orders;
-    if (this->ordered)
+    if (this->plan_at_order)
     {
         add_steps(
-            sent, *this->ordered,
-            {state.versions[version].whole, this->staged_whole,
-             this->look_began},
+            sent, *this->plan_at_order,
+            {state.versions[version].complete_at, this->staged_complete_at,
+             this->verify_began},
             this->ordered_at);
     }
     kernel::log_event(kernel::event_id::engine_order_sent, std::move(sent));
@@ -276,12 +277,12 @@
         platform::start_request(
             state.model, version, state.engine->orders,
             platform::running_requests::finish),
-        local_limit,
+        engine_timeout,
         [self = this->shared_from_this()](std::optional<fetched> response)
         {
             self->ordering = false;
-            self->order_again = clock::now() + order_pause;
-            self->unanswered = !response;
+            self->next_order_at = clock::now() + order_retry_delay;
+            self->order_unanswered = !response;
             auto const answer =
                 response ? platform::read_order_answer(response->status)
                          : platform::order_answer::conflict;
@@ -300,7 +301,7 @@
         });
 }
 
-void engine_switch::note_plan(std::uint64_t version)
+void engine_switch::log_plan_change(std::uint64_t version)
 {
     auto const& state = *this->context;
     auto const now = clock::now();
@@ -312,11 +313,11 @@
                     found->second.transfer.digests.size() -
                     found->second.transfer.held)
               : std::nullopt);
-    if (!this->plan || !is_news(this->told, *this->plan, now))
+    if (!this->plan || !should_log_plan(this->last_logged, *this->plan, now))
     {
         return;
     }
-    this->told = {this->plan, now};
+    this->last_logged = {this->plan, now};
     auto fields = fields_of(*this->plan);
     add_times(fields, *this->plan, now);
     fields["ip"] = state.settings.ip;
@@ -328,20 +329,21 @@
     auto const now = clock::now();
     nlohmann::json fields{
         {"version", this->staged_version},
-        {"from_version", this->ordered ? this->ordered->serving : 0},
+        {"from_version",
+         this->plan_at_order ? this->plan_at_order->serving : 0},
         {"ip", this->context->settings.ip},
         {"since_order_ms",
          std::chrono::duration_cast<milliseconds>(now - this->ordered_at)
              .count()}};
-    if (this->ordered)
+    if (this->plan_at_order)
     {
-        fields["first_newer"] = this->ordered->first;
-        add_times(fields, *this->ordered, now);
+        fields["first_newer"] = this->plan_at_order->first;
+        add_times(fields, *this->plan_at_order, now);
     }
     return fields;
 }
 
-void engine_switch::note_activated()
+void engine_switch::record_activation()
 {
     auto& state = *this->context;
     auto fields = this->order_fields();
@@ -351,34 +353,35 @@
     state.counters.observe(
         "foxtailvale_switch_ms",
         std::chrono::duration_cast<milliseconds>(now - this->ordered_at));
-    if (this->ordered)
+    if (this->plan_at_order)
     {
-        auto const left = this->ordered->named + this->ordered->bound - now;
+        auto const left = this->plan_at_order->announced_at +
+                          this->plan_at_order->bound - now;
         state.counters.gauge(
             "foxtailvale_version_switch_left_ms",
             {{"model", state.model},
-             {"version", std::to_string(this->ordered->serving)}},
+             {"version", std::to_string(this->plan_at_order->serving)}},
             static_cast<double>(
                 std::chrono::duration_cast<milliseconds>(left).count()));
     }
 }
 
-void engine_switch::settle()
+void engine_switch::settle_order()
 {
     auto& state = *this->context;
     if (!state.switching || this->ordering || !state.engine)
     {
         return;
     }
-    // The engine says what became of the order, also of one whose answer was
-    // lost: it is busy with it, it has carried it out, or neither.
+    // The engine's report tells what became of an order even when its answer
+    // was lost: the engine is busy with it, has carried it out, or did neither.
     if (serving_version(state) >= this->staged_version)
     {
         state.switching = false;
-        this->note_activated();
+        this->record_activation();
         return;
     }
-    if (!state.engine->busy && clock::now() >= this->order_again)
+    if (!state.engine->busy && clock::now() >= this->next_order_at)
     {
         state.switching = false;
     }
--- a/libs/gateway/src/engine_switch.hpp
+++ b/libs/gateway/src/engine_switch.hpp
@@ -2,7 +2,7 @@
 #define FOXTAILVALE_GATEWAY_ENGINE_SWITCH_HPP
 
 #include "agent_context.hpp"
-#include "switch_sight.hpp"
+#include "switch_log.hpp"
 
 #include <functional>
 #include <set>
@@ -10,74 +10,78 @@
 namespace foxtailvale::gateway
 {
 
-// Brings the engine to a version that the agent holds: puts the chunks beside
-// the engine, looks at all that lies there once more, and gives the order.
-// drive() looks at what is there and begins the next step, so a lost answer or
-// a restarted engine needs no way back of its own.
+// Switches the engine to a version that the agent holds: stages the chunks
+// beside the engine, verifies all staged chunks once more, and sends the order.
+// advance() derives the next step from the current state, so lost answers and
+// engine restarts need no recovery path of their own.
 class engine_switch : public std::enable_shared_from_this<engine_switch>
 {
 public:
     explicit engine_switch(std::shared_ptr<agent_context> shared);
 
     // Begins the next step towards the version.
-    void drive(std::uint64_t wanted);
+    void advance(std::uint64_t wanted);
 
-    // Reads what lies staged beside the engine into the version's chunks.
+    // Reads the chunks that are staged beside the engine into the version's
+    // transfer.
     void recover(std::uint64_t version);
 
-    // Whether recover() has been done for the version and this engine.
+    // Whether recover() has finished for the version since the engine's last
+    // start.
     bool has_recovered(std::uint64_t version) const;
 
-    // Whether the version's chunks may still be loaded by an order whose answer
-    // has not come.
-    bool needs(std::uint64_t version) const;
+    // Whether an order that has not been answered may still load the version's
+    // chunks.
+    bool may_still_load(std::uint64_t version) const;
 
-    // Called before an order is given.
+    // Called before an order is sent.
     std::function<void()> on_order;
-    // Called after each step.
+    // Called after each completed step.
     std::function<void()> on_step;
 
 private:
     void recover_next();
-    void forget_staged();
+    void reset_staged();
     void stage_next();
     void verify();
     void verify_next();
     void order();
-    void settle();
-    // An order was given whose answer has not come. Failure: it lay unread at
-    // an engine that stood still, the next version was put over the chunks that
-    // it was for, and it loaded some of both. The same order is given again
-    // until it is answered: its condition then holds for one of them only.
+    void settle_order();
+    // Whether an order was sent and its answer has not come. Failure: the order
+    // lay unread at an unresponsive engine while the next version was staged
+    // over the chunks that it was for, and the engine then loaded a mixture of
+    // both. The same order is therefore sent again until it is answered: its
+    // precondition can hold for only one of the copies.
     bool has_unanswered_order() const;
-    // Tells the plan of the switch when it is news.
-    void note_plan(std::uint64_t version);
-    // Fields of a line on the order under way.
+    // Logs the planned switch when it has changed noticeably.
+    void log_plan_change(std::uint64_t version);
+    // Fields of a log line about the order under way.
     nlohmann::json order_fields() const;
-    void note_activated();
+    void record_activation();
 
     std::shared_ptr<agent_context> context;
-    // The version that lies staged, or is being put there, and its chunks.
+    // The version that is staged or being staged, and the indexes of its staged
+    // chunks.
     std::uint64_t staged_version = 0;
     std::set<std::uint32_t> staged;
-    // The engine's start that this holds for.
-    std::uint64_t born = 0;
-    std::uint64_t recovered = 0;
+    // Start time of the engine process for which the staged state holds.
+    std::uint64_t engine_start_ms = 0;
+    std::uint64_t recovered_version = 0;
     bool recovering = false;
     std::vector<std::uint32_t> to_recover;
     bool staging = false;
     bool verifying = false;
-    std::uint32_t verified = 0;
+    std::uint32_t verified_chunks = 0;
     bool ordering = false;
-    base::time_point order_again;
-    bool unanswered = false;
+    base::time_point next_order_at;
+    bool order_unanswered = false;
     std::optional<switch_plan> plan;
-    told_plan told;
-    // When all chunks lay staged, and when the look at them began.
-    std::optional<base::time_point> staged_whole;
-    base::time_point look_began;
-    // The plan as it was when the order was sent.
-    std::optional<switch_plan> ordered;
+    logged_plan last_logged;
+    // When the last chunk was staged, and when their verification began.
+    std::optional<base::time_point> staged_complete_at;
+    base::time_point verify_began;
+    // The plan at the time when the order was sent.
+    std::optional<switch_plan> plan_at_order;
     base::time_point ordered_at;
 };
 
--- a/libs/gateway/src/fetch.cpp
+++ b/libs/gateway/src/fetch.cpp
@@ -9,7 +9,8 @@
 namespace
 {
 
-// One exchange with its time limit; alive until one of both has ended it.
+// One request with its time-out; alive until the response has arrived, the
+// request has failed or the time-out has expired.
 struct exchange : std::enable_shared_from_this<exchange>
 {
     exchange(
@@ -42,51 +43,51 @@
     connection_pool& pool,
     std::string const& address,
     net::request const& request,
-    std::chrono::milliseconds limit,
+    std::chrono::milliseconds timeout,
     std::function<void(std::optional<fetched>)> done)
 {
-    auto const held = std::make_shared<exchange>(loop, std::move(done));
-    held->connection = pool.take(address, limit);
-    if (!held->connection)
+    auto const pending = std::make_shared<exchange>(loop, std::move(done));
+    pending->connection = pool.take(address, timeout);
+    if (!pending->connection)
     {
         boost::asio::post(
             loop,
-            [held]
+            [pending]
             {
-                held->end(std::nullopt);
+                pending->end(std::nullopt);
             });
         return;
     }
-    held->timer.expires_after(limit);
-    held->timer.async_wait(
-        [held](boost::system::error_code error)
+    pending->timer.expires_after(timeout);
+    pending->timer.async_wait(
+        [pending](boost::system::error_code error)
         {
-            if (!error && held->done)
+            if (!error && pending->done)
             {
-                held->connection->close();
-                held->end(std::nullopt);
+                pending->connection->close();
+                pending->end(std::nullopt);
             }
         });
-    held->connection->start(
+    pending->connection->start(
         net::serialize(request),
-        {[held](net::response_head const& head)
+        {[pending](net::response_head const& head)
          {
-             held->response.status = head.status;
+             pending->response.status = head.status;
              return net::head_verdict::take;
          },
-         [held](std::string_view data)
+         [pending](std::string_view data)
          {
-             held->response.body.append(data);
+             pending->response.body.append(data);
          },
-         [held, &pool, address](net::exchange_result const& result)
+         [pending, &pool, address](net::exchange_result const& result)
          {
-             pool.give(address, held->connection);
+             pool.give(address, pending->connection);
              if (result.end != net::exchange_end::whole)
              {
-                 held->end(std::nullopt);
+                 pending->end(std::nullopt);
                  return;
              }
-             held->end(std::move(held->response));
+             pending->end(std::move(pending->response));
          }});
 }
 
--- a/libs/gateway/src/fetch.hpp
+++ b/libs/gateway/src/fetch.hpp
@@ -13,22 +13,22 @@
 namespace foxtailvale::gateway
 {
 
-// A whole response.
+// A complete response.
 struct fetched
 {
     unsigned status = 0;
     std::string body;
 };
 
-// Sends one request over a pooled connection and hands on the whole response,
-// or nothing when it did not come within the limit. Called from the loop,
-// never from inside.
+// Sends one request over a pooled connection and passes on the complete
+// response, or nothing when it did not arrive within the time-out. The callback
+// is invoked from the event loop, never from within this call.
 void fetch(
     boost::asio::io_context& loop,
     connection_pool& pool,
     std::string const& address,
     net::request const& request,
-    std::chrono::milliseconds limit,
+    std::chrono::milliseconds timeout,
     std::function<void(std::optional<fetched>)> done);
 
 } // namespace foxtailvale::gateway
--- a/libs/gateway/src/metrics_door.cpp
+++ b/libs/gateway/src/metrics_server.cpp
@@ -1,11 +1,11 @@
-#include "metrics_door.hpp"
+#include "metrics_server.hpp"
 
 #include <kernel/events.hpp>
 
 namespace foxtailvale::gateway
 {
 
-std::shared_ptr<net::http_server> open_metrics_door(
+std::shared_ptr<net::http_server> start_metrics_server(
     boost::asio::io_context& loop,
     std::string const& ip,
     kernel::metrics const& counters)
--- a/libs/gateway/src/weights_door.cpp
+++ b/libs/gateway/src/peer_weights_server.cpp
@@ -1,4 +1,4 @@
-#include "weights_door.hpp"
+#include "peer_weights_server.hpp"
 
 #include <algorithm>
 #include <charconv>
@@ -13,21 +13,21 @@
 
 using clock = std::chrono::steady_clock;
 
-constexpr std::chrono::milliseconds longest_wait{500};
+constexpr std::chrono::milliseconds max_wait{500};
 
-// Share of the machine's link that chunks may fill. The events of the engine's
-// live streams go over the same link: chunks sent as fast as they are asked
-// for stand before them in its queue, and events that come a tenth of a second
-// late are late for the callers. One chunk fills a link of 7.6 Mbit/s for
-// 34 ms, so a chunk and a pause of a half of that let events through.
+// Share of the machine's link that outgoing chunks may use. The event streams
+// of the engine's live requests share the link: chunks sent without a pause
+// would queue ahead of them, and events that come 0.1 s late are late for the
+// callers. One chunk fills a 7.6 Mbit/s link for 34 ms, so the short gap that
+// pacing leaves between chunks lets events through.
 constexpr double link_share = 0.95;
 
-// A receiver that takes longer for one chunk is cut off or nearly so, and must
-// not keep the others waiting.
-constexpr std::chrono::milliseconds longest_send{1500};
+// A receiver that takes longer than this for one chunk is disconnected or
+// nearly so, and must not delay the others.
+constexpr std::chrono::milliseconds send_timeout{1500};
 
-constexpr std::string_view root = "/weights/";
-constexpr std::string_view question_mark = "/ready";
+constexpr std::string_view path_prefix = "/weights/";
+constexpr std::string_view ready_suffix = "/ready";
 constexpr char const* behind_field = "Behind";
 
 net::request peer_request(std::string target)
@@ -53,18 +53,18 @@
 peer_manifest_request(std::string const& model, std::uint64_t version)
 {
     return peer_request(
-        std::string(root) + model + "/" + std::to_string(version) +
+        std::string(path_prefix) + model + "/" + std::to_string(version) +
         "/manifest");
 }
 
-net::request peer_chunk_question(
+net::request peer_chunk_ready_request(
     std::string const& model,
     std::uint64_t version,
     std::uint32_t index,
     std::size_t behind)
 {
     auto asked = peer_chunk_request(model, version, index);
-    asked.target.append(question_mark);
+    asked.target.append(ready_suffix);
     asked.fields.push_back({behind_field, std::to_string(behind)});
     return asked;
 }
@@ -73,32 +73,32 @@
     std::string const& model, std::uint64_t version, std::uint32_t index)
 {
     return peer_request(
-        std::string(root) + model + "/" + std::to_string(version) + "/" +
+        std::string(path_prefix) + model + "/" + std::to_string(version) + "/" +
         std::to_string(index));
 }
 
 net::request peer_check_request(std::string const& model, std::uint64_t version)
 {
     return peer_request(
-        std::string(root) + model + "/" + std::to_string(version) + "/check");
+        std::string(path_prefix) + model + "/" + std::to_string(version) +
+        "/check");
 }
 
-// "/weights/MODEL/VERSION/INDEX", with "manifest" or "check" in place of the
-// index or
-// "/ready" behind it.
-std::optional<weights_door::asked_path>
-weights_door::read_path(std::string_view target)
+// Parses "/weights/MODEL/VERSION/INDEX". "manifest" or "check" may stand in
+// place of the index, and "/ready" may follow it.
+std::optional<peer_weights_server::request_path>
+peer_weights_server::parse_path(std::string_view target)
 {
-    if (!target.starts_with(root))
+    if (!target.starts_with(path_prefix))
     {
         return std::nullopt;
     }
-    target.remove_prefix(root.size());
-    asked_path read;
-    if (target.ends_with(question_mark))
+    target.remove_prefix(path_prefix.size());
+    request_path read;
+    if (target.ends_with(ready_suffix))
     {
-        read.kind = asked_kind::question;
-        target.remove_suffix(question_mark.size());
+        read.kind = request_kind::chunk_ready;
+        target.remove_suffix(ready_suffix.size());
     }
     auto const last = target.rfind('/');
     if (last == std::string_view::npos || last == 0)
@@ -115,11 +115,11 @@
     auto const what = target.substr(last + 1);
     if (what == "manifest")
     {
-        read.kind = asked_kind::manifest;
+        read.kind = request_kind::manifest;
     }
     else if (what == "check")
     {
-        read.kind = asked_kind::check;
+        read.kind = request_kind::check;
     }
     else if (!read_number(what, read.index))
     {
@@ -129,12 +129,12 @@
                                               : std::nullopt;
 }
 
-weights_door::weights_door(std::shared_ptr<agent_context> shared)
+peer_weights_server::peer_weights_server(std::shared_ptr<agent_context> shared)
     : context(std::move(shared)), timer(this->context->loop)
 {
 }
 
-std::optional<std::string> weights_door::open()
+std::optional<std::string> peer_weights_server::open()
 {
     net::server_handlers handlers;
     handlers.on_request =
@@ -144,7 +144,7 @@
     {
         if (auto const held = self.lock())
         {
-            held->take(session, asked);
+            held->on_request_received(session, asked);
         }
     };
     handlers.on_fault = [](net::server_session& session, net::read_fault)
@@ -163,84 +163,85 @@
     return this->server->listen({ip, settings.peer_port});
 }
 
-void weights_door::take(
+void peer_weights_server::on_request_received(
     std::shared_ptr<net::server_session> const& session,
     net::request const& asked)
 {
-    auto const path = read_path(asked.target);
-    // A version that is not known here yet is waited for: the news of it may be
-    // on its way. Failure: news came to agents half a second apart, and those
-    // who had it asked others again and again who had not.
+    auto const path = parse_path(asked.target);
+    // A request for a version that is not known here yet waits, as its
+    // announcement may still be on the way. Failure: announcements reached
+    // agents half a second apart, and agents that had them polled others again
+    // and again that did not.
     if (!path || path->model != this->context->model ||
         path->version < this->context->oldest_held())
     {
         session->respond(weights_missing, {}, {});
         return;
     }
-    if (path->kind == asked_kind::check)
+    if (path->kind == request_kind::check)
     {
         session->respond(
-            this->takes_part(path->version) ? 200 : weights_missing, {}, {});
+            this->has_manifest(path->version) ? 200 : weights_missing, {}, {});
         return;
     }
-    if (path->kind == asked_kind::chunk)
+    if (path->kind == request_kind::chunk)
     {
-        weights::note_called_in(this->line, clock::now());
+        weights::note_called_in(this->send_queue, clock::now());
     }
     auto behind = std::numeric_limits<std::size_t>::max();
-    if (path->kind == asked_kind::question)
+    if (path->kind == request_kind::chunk_ready)
     {
         behind = 0;
         read_number(
             net::find_field(asked.fields, behind_field).value_or("0"), behind);
     }
-    this->line_up(
+    this->enqueue(
         {session, path->version, path->kind, path->index,
-         clock::now() + longest_wait, behind});
-    this->serve_waiting();
+         clock::now() + max_wait, behind});
+    this->answer_pending();
 }
 
-void weights_door::line_up(asked_part const& asked)
+void peer_weights_server::enqueue(pending_request const& asked)
 {
-    auto const place = std::ranges::find_if(
-        this->waiting,
-        [&asked](asked_part const& other)
+    auto const position = std::ranges::find_if(
+        this->pending,
+        [&asked](pending_request const& other)
         {
             return other.behind < asked.behind;
         });
-    this->waiting.insert(place, asked);
+    this->pending.insert(position, asked);
 }
 
-bool weights_door::takes_part(std::uint64_t version) const
+bool peer_weights_server::has_manifest(std::uint64_t version) const
 {
     auto const& known = this->context->versions;
     auto const found = known.find(version);
     return found != known.end() && found->second.manifest;
 }
 
-bool weights_door::can_answer(asked_part const& asked) const
+bool peer_weights_server::can_answer(pending_request const& asked) const
 {
-    if (!this->takes_part(asked.version))
+    if (!this->has_manifest(asked.version))
     {
         return false;
     }
     auto const& chunks =
         this->context->versions.at(asked.version).transfer.chunks;
-    if (asked.kind == asked_kind::manifest || asked.index >= chunks.size())
+    if (asked.kind == request_kind::manifest || asked.index >= chunks.size())
     {
         return true;
     }
-    if (asked.kind == asked_kind::question)
+    if (asked.kind == request_kind::chunk_ready)
     {
-        return chunks[asked.index] != nullptr && this->has_room();
+        return chunks[asked.index] != nullptr && this->can_promise();
     }
     return chunks[asked.index] != nullptr && clock::now() >= this->next_send;
 }
 
-void weights_door::answer(asked_part const& asked)
+void peer_weights_server::answer(pending_request const& asked)
 {
     auto const& held = this->context->versions.at(asked.version);
-    if (asked.kind == asked_kind::manifest)
+    if (asked.kind == request_kind::manifest)
     {
         asked.session->respond(200, {}, platform::to_text(*held.manifest));
         return;
@@ -250,65 +251,68 @@
         asked.session->respond(weights_missing, {}, {});
         return;
     }
-    if (asked.kind == asked_kind::question)
+    if (asked.kind == request_kind::chunk_ready)
     {
-        weights::note_promised(this->line, clock::now());
+        weights::note_promised(this->send_queue, clock::now());
         asked.session->respond(weights_ready, {}, {});
         return;
     }
     auto const& bytes = *held.transfer.chunks[asked.index];
     auto const now = clock::now();
-    this->sends.push_back({asked.session, now + longest_send});
-    this->pace(bytes.size(), now);
+    this->active_sends.push_back({asked.session, now + send_timeout});
+    this->schedule_next_send(bytes.size(), now);
     asked.session->respond(200, {}, bytes);
     this->context->counters.count(
         "foxtailvale_weights_sent_bytes_total", {},
         static_cast<double>(bytes.size()));
 }
 
-std::string weights_door::holdings(std::uint64_t version) const
+std::string peer_weights_server::holdings(std::uint64_t version) const
 {
     auto const found = this->context->versions.find(version);
     return found == this->context->versions.end()
                ? std::string()
                : weights::holdings_of(
-                     found->second.transfer, draws_of(*this->context, version),
+                     found->second.transfer,
+                     origin_fetch_schedule(*this->context, version),
                      this->context->settings.ip,
                      weights::failures_of(this->context->sources, {}) > 0);
 }
 
-bool weights_door::has_room() const
+bool peer_weights_server::can_promise() const
 {
-    // What stands before a squeezed link elsewhere still takes room here.
+    // Chunks that are queued at a slow receiver's link still occupy capacity
+    // here.
     auto const stuck = std::ranges::count_if(
-        this->sends,
-        [](running_send const& send)
+        this->active_sends,
+        [](active_send const& send)
         {
             auto const session = send.session.lock();
             return session && session->is_sending();
         });
-    auto seen = this->line;
+    auto seen = this->send_queue;
     seen.waiting += static_cast<std::size_t>(stuck);
     return weights::may_promise(seen, clock::now());
 }
 
-void weights_door::serve_waiting()
+void peer_weights_server::answer_pending()
 {
     auto const now = clock::now();
-    for (auto place = this->waiting.begin(); place != this->waiting.end();)
+    for (auto position = this->pending.begin();
+         position != this->pending.end();)
     {
-        auto const asked = *place;
+        auto const asked = *position;
         auto const gone = !asked.session->awaits_answer();
         auto const answered = !gone && this->can_answer(asked);
         if (!gone && !answered && asked.until > now)
         {
-            ++place;
+            ++position;
             continue;
         }
-        place = this->waiting.erase(place);
-        if (asked.kind == asked_kind::chunk)
+        position = this->pending.erase(position);
+        if (asked.kind == request_kind::chunk)
         {
-            weights::note_left(this->line);
+            weights::note_left(this->send_queue);
         }
         if (answered)
         {
@@ -322,7 +326,8 @@
     }
 }
 
-void weights_door::pace(std::size_t bytes, base::time_point now)
+void peer_weights_server::schedule_next_send(
+    std::size_t bytes, base::time_point now)
 {
     auto const rate = this->context->settings.link_rate * link_share;
     if (rate <= 0)
@@ -340,28 +345,29 @@
             auto const held = self.lock();
             if (!error && held)
             {
-                held->serve_waiting();
+                held->answer_pending();
             }
         });
 }
 
-void weights_door::end_stuck()
+void peer_weights_server::abort_stalled_sends()
 {
     auto const now = clock::now();
-    std::list<running_send> stuck;
-    for (auto place = this->sends.begin(); place != this->sends.end();)
+    std::list<active_send> stuck;
+    for (auto position = this->active_sends.begin();
+         position != this->active_sends.end();)
     {
-        auto const session = place->session.lock();
-        if (session && place->until > now)
+        auto const session = position->session.lock();
+        if (session && position->until > now)
         {
-            ++place;
+            ++position;
             continue;
         }
         if (session && session->is_sending())
         {
-            stuck.push_back(*place);
+            stuck.push_back(*position);
         }
-        place = this->sends.erase(place);
+        position = this->active_sends.erase(position);
     }
     for (auto const& entry : stuck)
     {
@@ -372,7 +378,7 @@
     }
 }
 
-void weights_door::stop()
+void peer_weights_server::stop()
 {
     this->server->stop();
 }
--- a/libs/gateway/src/reach.cpp
+++ b/libs/gateway/src/reach.cpp
@@ -12,11 +12,12 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds limit{400};
+constexpr std::chrono::milliseconds probe_timeout{400};
 
-struct trial
+struct connection_attempt
 {
-    explicit trial(boost::asio::io_context& loop) : socket(loop), timer(loop)
+    explicit connection_attempt(boost::asio::io_context& loop)
+        : socket(loop), timer(loop)
     {
     }
 
@@ -36,23 +37,24 @@
     {
         return;
     }
-    auto const held = std::make_shared<trial>(loop);
-    held->timer.expires_after(limit);
-    held->timer.async_wait(
-        [held](boost::system::error_code error)
+    auto const attempt = std::make_shared<connection_attempt>(loop);
+    attempt->timer.expires_after(probe_timeout);
+    attempt->timer.async_wait(
+        [attempt](boost::system::error_code error)
         {
             boost::system::error_code ignored;
             if (!error)
             {
-                // Ends the connection attempt, which then reports an error.
-                held->socket.close(ignored);
+                // Aborts the connection attempt, whose handler then reports an
+                // error.
+                attempt->socket.close(ignored);
             }
         });
-    held->socket.async_connect(
+    attempt->socket.async_connect(
         *target,
-        [held, done = std::move(done)](boost::system::error_code error)
+        [attempt, done = std::move(done)](boost::system::error_code error)
         {
-            held->timer.cancel();
+            attempt->timer.cancel();
             done(!error);
         });
 }
--- a/libs/gateway/src/reach.hpp
+++ b/libs/gateway/src/reach.hpp
@@ -9,8 +9,8 @@
 namespace foxtailvale::gateway
 {
 
-// Opens a connection to the address and ends it at once; says whether somebody
-// listens there. Costs a handshake and no request.
+// Opens a TCP connection to the address and closes it at once; reports whether
+// anything accepts connections there. Costs a handshake and no request.
 void probe_connection(
     boost::asio::io_context& loop,
     std::string const& address,
--- a/libs/gateway/src/report_link.cpp
+++ b/libs/gateway/src/report_link.cpp
@@ -15,12 +15,12 @@
 using std::chrono::milliseconds;
 using clock = std::chrono::steady_clock;
 
-// An entry that has not asked for this long gets no more reports.
-constexpr milliseconds subscription_time{3500};
+// Subscriptions that were not renewed for this long expire.
+constexpr milliseconds subscription_timeout{3500};
 
-// Entries of other failure domains ask only while no entry of this one passes
-// reports on, and get them less often.
-constexpr int remote_interval = 4;
+// Entries of other failure domains subscribe only while no entry of this domain
+// relays reports to them, and receive only one report in this many.
+constexpr int remote_round_interval = 4;
 
 } // namespace
 
@@ -45,12 +45,12 @@
             }
             if (message.has_subscribe())
             {
-                held->take(source, message.subscribe());
+                held->on_subscribe(source, message.subscribe());
             }
             if (message.has_fleet_notice())
             {
-                held->take_models(message.fleet_notice().models());
-                held->on_fleet(message.fleet_notice());
+                held->update_models(message.fleet_notice().models());
+                held->on_fleet_notice(message.fleet_notice());
             }
         });
     auto const& settings = this->context->settings;
@@ -68,7 +68,7 @@
     this->socket->close();
 }
 
-void report_link::take(
+void report_link::on_subscribe(
     net::udp_endpoint const& source, wire::Subscribe const& asked)
 {
     auto const now = clock::now();
@@ -78,7 +78,7 @@
         return;
     }
     this->subscribers[source] = {now, asked.failure_domain()};
-    this->take_models(asked.models());
+    this->update_models(asked.models());
     for (auto const& notice : asked.versions())
     {
         this->on_version(
@@ -87,7 +87,7 @@
     }
 }
 
-void report_link::take_models(
+void report_link::update_models(
     google::protobuf::RepeatedPtrField<wire::ServedModel> const& models)
 {
     for (auto const& served : models)
@@ -103,14 +103,14 @@
     }
 }
 
-bool report_link::ask_fleet(std::uint64_t token, std::uint32_t tries)
+bool report_link::request_fleet(std::uint64_t token, std::uint32_t tries)
 {
     std::vector<net::udp_endpoint> known;
     for (auto const near : {true, false})
     {
         for (auto const& [address, entry] : this->subscribers)
         {
-            if (this->is_near(entry) == near)
+            if (this->is_same_domain(entry) == near)
             {
                 known.push_back(address);
             }
@@ -120,7 +120,8 @@
             break;
         }
     }
-    // Entries that do not know this agent yet: those that the settings name.
+    // Before any entry has subscribed, the entries named in the settings are
+    // used.
     auto const& settings = this->context->settings;
     for (auto const& seed : settings.seeds)
     {
@@ -145,13 +146,13 @@
     return true;
 }
 
-void report_link::forget_silent()
+void report_link::remove_expired_subscribers()
 {
     std::erase_if(
         this->subscribers,
         [now = clock::now()](auto const& entry)
         {
-            return now - entry.second.asked > subscription_time;
+            return now - entry.second.last_asked > subscription_timeout;
         });
 }
 
@@ -160,7 +161,7 @@
     return !this->subscribers.empty();
 }
 
-bool report_link::is_near(subscriber const& entry) const
+bool report_link::is_same_domain(subscriber const& entry) const
 {
     return entry.failure_domain == this->context->settings.failure_domain;
 }
@@ -168,8 +169,8 @@
 std::string report_link::entries_notice() const
 {
     wire::Datagram message;
-    auto& told = *message.mutable_entries_notice();
-    told.set_failure_domain(this->context->settings.failure_domain);
+    auto& content = *message.mutable_entries_notice();
+    content.set_failure_domain(this->context->settings.failure_domain);
     std::map<std::string, wire::DomainEntries> by_domain;
     for (auto const& [address, entry] : this->subscribers)
     {
@@ -182,7 +183,7 @@
     for (auto& [domain, entries] : by_domain)
     {
         entries.set_failure_domain(domain);
-        *told.add_domains() = std::move(entries);
+        *content.add_domains() = std::move(entries);
     }
     return message.SerializeAsString();
 }
@@ -191,43 +192,44 @@
 {
     auto const& state = *this->context;
     wire::Datagram message;
-    auto& told = *message.mutable_engine_state();
-    told.set_unreachable(!state.engine.has_value());
-    told.set_switching(state.switching || (state.engine && state.engine->busy));
+    auto& content = *message.mutable_engine_state();
+    content.set_unreachable(!state.engine.has_value());
+    content.set_switching(
+        state.switching || (state.engine && state.engine->busy));
     if (state.engine)
     {
         auto const& load = state.engine->load;
-        told.set_running(load.running);
-        told.set_waiting(load.waiting);
-        told.set_pace(load.pace);
-        told.set_model(load.weights.model);
-        told.set_version(load.weights.version);
-        told.set_whole(load.weights.whole);
+        content.set_running(load.running);
+        content.set_waiting(load.waiting);
+        content.set_pace(load.pace);
+        content.set_model(load.weights.model);
+        content.set_version(load.weights.version);
+        content.set_whole(load.weights.whole);
     }
     auto const now = clock::now();
     if (auto const at = expected_switch(state, now))
     {
         auto const left =
             std::chrono::duration_cast<milliseconds>(*at - now).count();
-        told.set_switches(true);
-        told.set_switches_in_ms(
+        content.set_switches(true);
+        content.set_switches_in_ms(
             static_cast<std::uint32_t>(std::max<std::int64_t>(0, left)));
     }
     return message.SerializeAsString();
 }
 
-void report_link::tell(bool at_once)
+void report_link::send_reports(bool at_once)
 {
     if (this->subscribers.empty())
     {
         return;
     }
-    auto const round = this->rounds++;
+    auto const round = this->report_rounds++;
     auto const bytes = this->report();
-    auto const to_all = at_once || round % remote_interval == 0;
+    auto const to_all = at_once || round % remote_round_interval == 0;
     for (auto const& [address, entry] : this->subscribers)
     {
-        if (to_all || this->is_near(entry))
+        if (to_all || this->is_same_domain(entry))
         {
             this->socket->send(address, bytes);
         }
--- a/libs/gateway/src/report_link.hpp
+++ b/libs/gateway/src/report_link.hpp
@@ -28,62 +28,67 @@
 namespace foxtailvale::gateway
 {
 
-// What passes between an agent and the entries: they ask for reports, and say
-// which versions are named; it tells them how its engine is.
+// Datagrams between an agent and the entries. Entries subscribe to reports and
+// list the announced versions in each subscription; the agent reports the
+// engine's state.
 class report_link : public std::enable_shared_from_this<report_link>
 {
 public:
     explicit report_link(std::shared_ptr<agent_context> shared);
 
-    // An error text when the peers' address cannot be listened on.
+    // Opens the socket. Returns an error text when the peer address cannot be
+    // bound.
     std::optional<std::string> open();
     void close();
 
-    // Tells all entries that are due; `at_once` tells those of other failure
-    // domains too.
-    void tell(bool at_once);
+    // Sends a report to all entries that are due; with `at_once`, also to those
+    // of other failure domains out of turn.
+    void send_reports(bool at_once);
 
-    // Forgets entries that have not asked for a while.
-    void forget_silent();
+    // Removes subscriptions that were not renewed in time.
+    void remove_expired_subscribers();
 
-    // Whether any entry asks for reports, and so tells which versions are
-    // named.
+    // Whether any entry subscribes, and so keeps this agent informed of the
+    // announced versions.
     bool has_entries() const;
 
-    // An entry knows of a version, named then. Set before open().
+    // Called when an entry lists a version, with the time of its announcement.
+    // Set before open().
     std::function<void(
         std::string const& model, std::uint64_t version, base::time_point at)>
         on_version;
 
-    // Asks one of the entries, those of the own failure domain first, another
-    // one for another try; those that the settings name while none has asked
-    // for reports. False when there is nobody to ask.
-    bool ask_fleet(std::uint64_t token, std::uint32_t tries);
+    // Asks an entry for the agents of the fleet, preferring entries of the own
+    // failure domain and another entry on each try; entries named in the
+    // settings while none has subscribed. Returns false when no entry is known.
+    bool request_fleet(std::uint64_t token, std::uint32_t tries);
 
-    // What an entry said of a failure domain. Set before open().
-    std::function<void(wire::FleetNotice const&)> on_fleet;
+    // Called with an entry's list of the agents in a failure domain. Set before
+    // open().
+    std::function<void(wire::FleetNotice const&)> on_fleet_notice;
 
 private:
-    // An entry that asked for reports.
+    // An entry that subscribed to reports.
     struct subscriber
     {
-        base::time_point asked;
+        base::time_point last_asked;
         std::string failure_domain;
     };
 
-    void take(net::udp_endpoint const& source, wire::Subscribe const& asked);
-    // Takes what the configuration says of this agent's service.
-    void take_models(
+    void
+    on_subscribe(net::udp_endpoint const& source, wire::Subscribe const& asked);
+    // Records what the configuration says about this agent's service.
+    void update_models(
         google::protobuf::RepeatedPtrField<wire::ServedModel> const& models);
-    // The entry stands in this agent's failure domain.
-    bool is_near(subscriber const& entry) const;
+    // Whether the entry is in this agent's failure domain.
+    bool is_same_domain(subscriber const& entry) const;
     std::string report() const;
     std::string entries_notice() const;
 
     std::shared_ptr<agent_context> context;
     std::shared_ptr<net::datagram_socket> socket;
     std::map<net::udp_endpoint, subscriber> subscribers;
-    int rounds = 0;
+    int report_rounds = 0;
 };
 
 } // namespace foxtailvale::gateway
--- a/libs/gateway/src/run_process.hpp
+++ b/libs/gateway/src/run_process.hpp
@@ -1,7 +1,7 @@
 #ifndef FOXTAILVALE_GATEWAY_RUN_PROCESS_HPP
 #define FOXTAILVALE_GATEWAY_RUN_PROCESS_HPP
 
-#include "metrics_door.hpp"
+#include "metrics_server.hpp"
 
 #include <gateway/settings_file.hpp>
 #include <kernel/events.hpp>
@@ -18,19 +18,20 @@
 namespace foxtailvale::gateway
 {
 
-// Exit codes, as for all programs.
+// Exit codes, the same for all programs.
 inline constexpr int exit_done = 0;
 inline constexpr int exit_failed = 1;
 inline constexpr int exit_bad_settings = 2;
 
-// What a role needs of its settings beyond what every process does; an error
-// text when it is not there.
-using settings_need =
+// Checks the settings that a role requires in addition to those of every
+// process. Returns an error text when one is missing.
+using settings_requirement =
     std::function<std::optional<std::string>(platform::settings const&)>;
 
-// Tells all faults of a settings file on standard error, or that there are
-// none on standard output. Returns the exit code.
-inline int check_settings(std::string const& path, settings_need const& need)
+// Prints all errors of a settings file to standard error, or that it is valid
+// to standard output. Returns the exit code.
+inline int
+check_settings(std::string const& path, settings_requirement const& need)
 {
     auto const read = settings_file(path).read();
     auto const missing = read.has_value() ? need(read.value()) : std::nullopt;
@@ -45,9 +46,9 @@
     return exit_done;
 }
 
-// Runs a process of the given kind on one loop until it is stopped: reads its
-// settings, begins its log, starts it and shows its metrics. Returns the exit
-// code.
+// Runs a process of the given type on one event loop until it is stopped: reads
+// its settings, starts logging, starts the process and serves its metrics.
+// Returns the exit code.
 template <class Process>
 int run_process(std::string const& settings_path, char const* program)
 {
@@ -70,7 +71,7 @@
         return exit_failed;
     }
     auto const shown =
-        open_metrics_door(loop, settings.value().ip, process->counters());
+        start_metrics_server(loop, settings.value().ip, process->counters());
     kernel::log_event(
         kernel::event_id::process_started,
         {{"program", program},
--- a/libs/gateway/src/settings_file.cpp
+++ b/libs/gateway/src/settings_file.cpp
@@ -41,7 +41,7 @@
     auto read = platform::read_settings(this->text);
     if (read.has_error())
     {
-        // What ran before goes on with what it knew.
+        // The process keeps running with its previous settings.
         kernel::log_error(read.error(), {{"path", this->path}});
         return std::nullopt;
     }
--- a/libs/gateway/src/switch_sight.cpp
+++ b/libs/gateway/src/switch_log.cpp
@@ -1,4 +1,4 @@
-#include "switch_sight.hpp"
+#include "switch_log.hpp"
 
 #include <algorithm>
 
@@ -10,10 +10,10 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds least_move{100};
-// The engine is polled every tenth of a second, and the look takes its time.
-constexpr milliseconds usual_delay{150};
-constexpr milliseconds between_lines{250};
+constexpr milliseconds min_turn_change{100};
+// The engine is polled every 0.1 s, and verifying the staged chunks takes time.
+constexpr milliseconds expected_delay{150};
+constexpr milliseconds log_interval{250};
 
 std::int64_t ms_of(base::duration value)
 {
@@ -41,42 +41,45 @@
     made.serving = ask.serving;
     made.target = target;
     made.first = first->version;
-    made.named = first->named;
+    made.announced_at = first->named;
     made.turn = weights::switch_turn(ask, target);
     made.bound = ask.bound;
     made.missing = missing;
     return made;
 }
 
-bool is_news(
-    told_plan const& told, switch_plan const& plan, base::time_point now)
+bool should_log_plan(
+    logged_plan const& last_logged,
+    switch_plan const& plan,
+    base::time_point now)
 {
-    if (!told.plan)
+    if (!last_logged.plan)
     {
         return true;
     }
-    if (now < told.at + between_lines)
+    if (now < last_logged.at + log_interval)
     {
         return false;
     }
-    auto const moved = plan.turn > told.plan->turn
-                           ? plan.turn - told.plan->turn
-                           : told.plan->turn - plan.turn;
-    return told.plan->serving != plan.serving ||
-           told.plan->target != plan.target || moved > least_move;
+    auto const turn_change = plan.turn > last_logged.plan->turn
+                                 ? plan.turn - last_logged.plan->turn
+                                 : last_logged.plan->turn - plan.turn;
+    return last_logged.plan->serving != plan.serving ||
+           last_logged.plan->target != plan.target ||
+           turn_change > min_turn_change;
 }
 
 char const* late_by(
     switch_plan const& plan, switch_steps const& steps, base::time_point now)
 {
-    if (now <= plan.turn + usual_delay)
+    if (now <= plan.turn + expected_delay)
     {
         return "none";
     }
     auto const ready = std::max(plan.turn, steps.staged.value_or(plan.turn));
     auto const staging = ready - plan.turn;
-    auto const waiting = steps.look_began - ready;
-    auto const looking = now - steps.look_began;
+    auto const waiting = steps.verify_began - ready;
+    auto const looking = now - steps.verify_began;
     if (staging >= waiting && staging >= looking)
     {
         return "staging";
@@ -90,7 +93,7 @@
         {"version", plan.target},
         {"from_version", plan.serving},
         {"first_newer", plan.first},
-        {"turn_ms", ms_of(plan.turn - plan.named)},
+        {"turn_ms", ms_of(plan.turn - plan.announced_at)},
         {"bound_ms", plan.bound.count()},
         {"skips", plan.first != plan.target},
         {"missing",
@@ -100,8 +103,8 @@
 void add_times(
     nlohmann::json& fields, switch_plan const& plan, base::time_point now)
 {
-    fields["after_ms"] = ms_of(now - plan.named);
-    fields["left_ms"] = ms_of(plan.named + plan.bound - now);
+    fields["after_ms"] = ms_of(now - plan.announced_at);
+    fields["left_ms"] = ms_of(plan.announced_at + plan.bound - now);
 }
 
 void add_steps(
@@ -110,18 +113,18 @@
     switch_steps const& steps,
     base::time_point now)
 {
-    // A version may have been whole before the one in use was followed.
+    // A version may have become complete before the one in use was superseded.
     auto const since = [&plan](std::optional<base::time_point> const& then)
     {
-        return then ? nlohmann::json(ms_of(*then - plan.named))
+        return then ? nlohmann::json(ms_of(*then - plan.announced_at))
                     : nlohmann::json();
     };
-    fields["turn_ms"] = ms_of(plan.turn - plan.named);
+    fields["turn_ms"] = ms_of(plan.turn - plan.announced_at);
     fields["late_ms"] = ms_of(now - plan.turn);
     fields["late_by"] = late_by(plan, steps, now);
-    fields["whole_ms"] = since(steps.whole);
+    fields["whole_ms"] = since(steps.complete_at);
     fields["staged_ms"] = since(steps.staged);
-    fields["look_ms"] = ms_of(now - steps.look_began);
+    fields["look_ms"] = ms_of(now - steps.verify_began);
 }
 
 } // namespace foxtailvale::gateway
--- a/libs/gateway/src/version_fetch.cpp
+++ b/libs/gateway/src/version_fetch.cpp
@@ -1,7 +1,7 @@
 #include "version_fetch.hpp"
 
 #include "fetch.hpp"
-#include "weights_door.hpp"
+#include "peer_weights_server.hpp"
 
 #include <kernel/events.hpp>
 
@@ -16,29 +16,34 @@
 using std::chrono::milliseconds;
 using clock = std::chrono::steady_clock;
 
-// An agent keeps a question for a chunk for a while and sends one chunk after
-// the other; what takes longer has met a silent or squeezed source.
-constexpr milliseconds chunk_limit{2500};
-constexpr milliseconds question_limit{900};
+// Peers hold a ready request until the chunk has arrived and send one chunk
+// after the other; a request that takes longer than this has met an
+// unresponsive or slow source.
+constexpr milliseconds chunk_timeout{2500};
+constexpr milliseconds ready_timeout{900};
 
-constexpr milliseconds manifest_limit{800};
-// Another agent keeps the question for half a second while it waits for the
-// manifest itself; one that does not answer then is gone, and the next is
-// asked.
-constexpr milliseconds peer_manifest_limit{700};
-constexpr milliseconds again_soon{100};
-constexpr std::uint32_t most_manifest_doublings = 2;
+constexpr milliseconds manifest_timeout{800};
+// A peer holds the request for up to half a second while it waits for the
+// manifest itself. One that has not answered by then is gone, and the next one
+// is asked.
+constexpr milliseconds peer_manifest_timeout{700};
+constexpr milliseconds manifest_retry_delay{100};
+constexpr std::uint32_t max_manifest_doublings = 2;
 
-// The list of the other agents comes within a tenth of a second, if at all.
-constexpr milliseconds list_patience{600};
-// A list that is older is asked for anew when a version is wanted.
-constexpr milliseconds list_memory{2500};
+// The list of the other agents comes within 0.1 s, if at all.
+constexpr milliseconds list_timeout{600};
+// A list that was older than this when the version was first needed is
+// requested again.
+constexpr milliseconds list_max_age{2500};
 
-// Drawers of the own failure domain are asked this often before any other.
-constexpr std::uint32_t peer_tries = 4;
+// Number of tries for which only the origin fetchers of the own failure domain
+// are asked, before any other agent there.
+constexpr std::uint32_t same_domain_tries = 4;
 
-// The plans with the version's label at every agent: all of them want it.
-weights::plan_set labelled(agent_context const& state, std::string const& label)
+// The plans with the version's label set at every agent, because all of them
+// need the version.
+weights::plan_set
+label_plans(agent_context const& state, std::string const& label)
 {
     auto plans = state.fleet;
     for (auto& [domain, plan] : plans)
@@ -58,7 +63,7 @@
 {
 }
 
-void version_fetch::drive(std::uint64_t version, bool chunks)
+void version_fetch::advance(std::uint64_t version, bool chunks)
 {
     auto& held = this->context->versions[version];
     if (!held.manifest)
@@ -68,7 +73,7 @@
     }
     if (chunks && !weights::is_whole(held.transfer))
     {
-        this->ask_for_chunks(version);
+        this->request_chunks(version);
     }
 }
 
@@ -77,39 +82,42 @@
 {
     auto const& state = *this->context;
     auto const& own = state.settings.ip;
-    auto const schedule = draws_of(state, version);
-    auto const begun = held.wanted.value_or(clock::now());
-    // Failures: all machines lose power, and every agent asks the origin before
-    // the list of the others has come; agents listed the others at different
-    // times long ago and do not agree on who draws what.
-    auto const is_listed = state.fleet_listed_at + list_memory > begun;
-    if (!is_listed && clock::now() < begun + list_patience)
+    auto const schedule = origin_fetch_schedule(state, version);
+    auto const begun = held.wanted_since.value_or(clock::now());
+    // Failures: after all machines had lost power, every agent asked the origin
+    // before the list of the others had arrived; agents with lists of different
+    // age did not agree on which of them fetches what from the origin.
+    auto const is_listed = state.fleet_listed_at + list_max_age > begun;
+    if (!is_listed && clock::now() < begun + list_timeout)
     {
         return std::nullopt;
     }
-    auto const may_draw =
+    auto const may_use_origin =
         weights::may_ask_for_manifest(schedule, own, begun, clock::now());
     auto const found = state.fleet.find(state.settings.failure_domain);
-    // The origin and the others take turns where it may be asked at all.
+    // Where the origin may be asked at all, tries alternate between it and the
+    // peers.
     if (found == state.fleet.end() || schedule.order.size() < 2 ||
-        (may_draw && held.manifest_tries % 2 == 0))
+        (may_use_origin && held.manifest_tries % 2 == 0))
     {
         return std::string();
     }
-    // The first of the own failure domain has it first, then the other drawers
-    // there, who ask the first; when they are gone, somebody else has it.
+    // The first agent of the failure domain gets the manifest first, then the
+    // other origin fetchers of the domain, which ask the first; when those are
+    // gone, any other agent may hold it.
     auto const& agents = found->second.endpoints;
     auto const rank = static_cast<std::size_t>(
         std::ranges::find(agents, own, &control::plan_endpoint::agent) -
         agents.begin());
     auto const near = std::clamp<std::size_t>(
         schedule.drawers / schedule.domains, 1, agents.size());
-    auto const among = held.manifest_tries < peer_tries ? near : agents.size();
+    auto const among =
+        held.manifest_tries < same_domain_tries ? near : agents.size();
     auto const first = rank < near ? 0 : rank;
     auto const& chosen = agents[(first + held.manifest_tries) % among];
     if (chosen.agent == own)
     {
-        // The turn passes to the next.
+        // The try counts, so the next one asks the next agent.
         ++held.manifest_tries;
         return std::nullopt;
     }
@@ -120,13 +128,13 @@
 {
     auto& state = *this->context;
     auto& held = state.versions[version];
-    if (held.manifest_pending || clock::now() < held.manifest_again)
+    if (held.manifest_pending || clock::now() < held.next_manifest_try)
     {
         return;
     }
-    if (!held.wanted)
+    if (!held.wanted_since)
     {
-        held.wanted = clock::now();
+        held.wanted_since = clock::now();
     }
     auto const source = this->manifest_source(held, version);
     if (!source)
@@ -140,12 +148,13 @@
     auto const request = from_origin
                              ? platform::manifest_request(state.model, version)
                              : peer_manifest_request(state.model, version);
-    // Twice as long after each failure: while links between regions are full,
-    // what is given up early is asked for again and fills them further.
+    // The time-out doubles with every second failure: while links between
+    // regions are full, requests abandoned early are sent again and fill them
+    // further.
     auto const doublings =
-        std::min(held.manifest_tries / 2, most_manifest_doublings);
-    auto const limit =
-        from_origin ? manifest_limit * (1U << doublings) : peer_manifest_limit;
+        std::min(held.manifest_tries / 2, max_manifest_doublings);
+    auto const limit = from_origin ? manifest_timeout * (1U << doublings)
+                                   : peer_manifest_timeout;
     fetch(
         state.loop, state.pool, address, request, limit,
         [self = this->shared_from_this(), version,
@@ -159,14 +168,14 @@
                      {"source", address},
                      {"status", response ? response->status : 0}});
             }
-            self->take_manifest(
+            self->on_manifest(
                 version, response && response->status == 200
                              ? std::optional(std::move(response->body))
                              : std::nullopt);
         });
 }
 
-void version_fetch::take_manifest(
+void version_fetch::on_manifest(
     std::uint64_t version, std::optional<std::string> const& body)
 {
     auto& state = *this->context;
@@ -174,12 +183,12 @@
     held.manifest_pending = false;
     auto read = body ? platform::read_manifest(*body)
                      : base::fail(base::error_kind::origin_unavailable);
-    auto const fits = read.has_value() && read.value().version == version &&
-                      read.value().model == state.model;
-    if (!fits || held.manifest)
+    auto const matches = read.has_value() && read.value().version == version &&
+                         read.value().model == state.model;
+    if (!matches || held.manifest)
     {
         ++held.manifest_tries;
-        held.manifest_again = clock::now() + again_soon;
+        held.next_manifest_try = clock::now() + manifest_retry_delay;
         return;
     }
     kernel::log_event(
@@ -189,7 +198,7 @@
          {"from", held.manifest_source},
          {"tries", held.manifest_tries}});
     weights::begin(held.transfer, read.value().digests, clock::now());
-    held.last_news = clock::now();
+    held.last_progress = clock::now();
     for (auto const& [other, earlier] : state.versions)
     {
         if (other != version)
@@ -201,21 +210,21 @@
     this->on_progress();
 }
 
-void version_fetch::tell_waiting(std::uint64_t version)
+void version_fetch::log_waiting(std::uint64_t version)
 {
-    constexpr milliseconds between{1000};
-    constexpr std::size_t most_named = 4;
+    constexpr milliseconds log_interval{1000};
+    constexpr std::size_t max_logged = 4;
     auto& held = this->context->versions[version];
-    if (clock::now() < held.last_news + between)
+    if (clock::now() < held.last_progress + log_interval)
     {
         return;
     }
-    held.last_news = clock::now();
+    held.last_progress = clock::now();
     auto const& transfer = held.transfer;
     auto missing = nlohmann::json::array();
     auto from = nlohmann::json::array();
     for (std::uint32_t index = 0;
-         index < transfer.chunks.size() && missing.size() < most_named; ++index)
+         index < transfer.chunks.size() && missing.size() < max_logged; ++index)
     {
         if (transfer.chunks[index])
         {
@@ -237,41 +246,42 @@
          {"pending", transfer.pending.size()}});
 }
 
-void version_fetch::ask_for_chunks(std::uint64_t version)
+void version_fetch::request_chunks(std::uint64_t version)
 {
     auto& state = *this->context;
     auto& held = state.versions[version];
     this->fetch_ready();
-    this->tell_waiting(version);
+    this->log_waiting(version);
     auto const label = state.model + "@" + std::to_string(version);
     weights::transfer_place const place{
         state.settings.failure_domain, state.settings.ip, label,
-        holders_of(state, version)};
+        chunk_holders(state, version)};
     auto const asks = weights::next_asks(
-        held.transfer, state.sources, labelled(state, label), place,
-        draws_of(state, version), weights::transfer_limits{}, clock::now());
+        held.transfer, state.sources, label_plans(state, label), place,
+        origin_fetch_schedule(state, version), weights::transfer_limits{},
+        clock::now());
     for (auto const& wanted : asks)
     {
-        this->ask(version, wanted);
+        this->request_chunk(version, wanted);
     }
     auto const checks = weights::next_checks(
-        held.transfer, labelled(state, label), place, draws_of(state, version),
-        clock::now());
-    for (auto const& drawer : checks)
+        held.transfer, label_plans(state, label), place,
+        origin_fetch_schedule(state, version), clock::now());
+    for (auto const& origin_fetcher : checks)
     {
-        this->check(version, drawer);
+        this->check_peer(version, origin_fetcher);
     }
 }
 
-void version_fetch::check(
-    std::uint64_t version, weights::chunk_source const& drawer)
+void version_fetch::check_peer(
+    std::uint64_t version, weights::chunk_source const& origin_fetcher)
 {
     auto& state = *this->context;
     fetch(
-        state.loop, state.pool, drawer.address,
+        state.loop, state.pool, origin_fetcher.address,
         peer_check_request(state.model, version), weights::check_limit,
         [self = this->shared_from_this(), version,
-         drawer](std::optional<fetched> response)
+         origin_fetcher](std::optional<fetched> response)
         {
             auto const lives = response && response->status == 200;
             if (!lives)
@@ -279,15 +289,17 @@
                 kernel::log_event(
                     kernel::event_id::drawer_silent,
                     {{"version", version},
-                     {"drawer", drawer.agent},
+                     {"drawer", origin_fetcher.agent},
                      {"status", response ? response->status : 0}});
             }
             weights::note_check(
-                self->context->versions[version].transfer, drawer.agent, lives);
+                self->context->versions[version].transfer, origin_fetcher.agent,
+                lives);
         });
 }
 
-void version_fetch::ask(std::uint64_t version, weights::chunk_ask const& wanted)
+void version_fetch::request_chunk(
+    std::uint64_t version, weights::chunk_ask const& wanted)
 {
     auto& state = *this->context;
     ready_chunk const asked{version, wanted};
@@ -298,14 +310,15 @@
     }
     fetch(
         state.loop, state.pool, wanted.source.address,
-        peer_chunk_question(state.model, version, wanted.index, wanted.behind),
-        question_limit,
+        peer_chunk_ready_request(
+            state.model, version, wanted.index, wanted.behind),
+        ready_timeout,
         [self = this->shared_from_this(),
          asked](std::optional<fetched> response)
         {
             if (response && response->status == weights_ready)
             {
-                self->ready.push_back(asked);
+                self->ready_chunks.push_back(asked);
                 self->fetch_ready();
                 return;
             }
@@ -316,45 +329,48 @@
                     asked.wanted.source, std::move(response->body),
                     clock::now());
             }
-            self->lose(asked, response ? response->status : 0);
+            self->on_chunk_failed(asked, response ? response->status : 0);
         });
 }
 
-void version_fetch::leave_squeezed(base::time_point now)
+void version_fetch::withdraw_slow_fetches(base::time_point now)
 {
-    for (auto const number : weights::squeezed_fetches(this->line, now))
+    for (auto const number :
+         weights::squeezed_fetches(this->receive_queue, now))
     {
         auto const found = this->fetches.find(number);
         if (found == this->fetches.end())
         {
             continue;
         }
-        auto const slow = found->second;
+        auto const withdrawn = found->second;
         this->fetches.erase(found);
-        weights::strike(this->context->sources, slow.wanted.source.agent, now);
+        weights::strike(
+            this->context->sources, withdrawn.wanted.source.agent, now);
         weights::withdraw(
-            this->context->versions[slow.version].transfer,
-            this->context->sources, slow.wanted.index);
+            this->context->versions[withdrawn.version].transfer,
+            this->context->sources, withdrawn.wanted.index);
     }
 }
 
 void version_fetch::fetch_ready()
 {
     auto const now = clock::now();
-    this->leave_squeezed(now);
-    while (!this->ready.empty() && weights::may_fetch(this->line, now))
+    this->withdraw_slow_fetches(now);
+    while (!this->ready_chunks.empty() &&
+           weights::may_fetch(this->receive_queue, now))
     {
-        auto const next = this->ready.front();
-        this->ready.pop_front();
-        if (this->is_held(next))
+        auto const next = this->ready_chunks.front();
+        this->ready_chunks.pop_front();
+        if (this->drop_if_held(next))
         {
             continue;
         }
         this->fetch_chunk(next);
     }
-    if (!this->ready.empty() && now < this->line.not_before)
+    if (!this->ready_chunks.empty() && now < this->receive_queue.not_before)
     {
-        this->timer.expires_at(this->line.not_before);
+        this->timer.expires_at(this->receive_queue.not_before);
         this->timer.async_wait(
             [self = this->shared_from_this()](boost::system::error_code error)
             {
@@ -366,7 +382,7 @@
     }
 }
 
-bool version_fetch::is_held(ready_chunk const& next)
+bool version_fetch::drop_if_held(ready_chunk const& next)
 {
     auto& state = *this->context;
     auto& transfer = state.versions[next.version].transfer;
@@ -389,42 +405,42 @@
     auto const request =
         from_origin ? platform::chunk_request(state.model, next.version, index)
                     : peer_chunk_request(state.model, next.version, index);
-    auto const number = from_origin ? 0 : this->begin(next);
+    auto const number = from_origin ? 0 : this->register_fetch(next);
     auto const limit = from_origin
                            ? weights::draw_limit(
-                                 draws_of(state, next.version),
+                                 origin_fetch_schedule(state, next.version),
                                  weights::failures_of(state.sources, {}))
-                           : chunk_limit;
+                           : chunk_timeout;
     fetch(
         state.loop, state.pool, address, request, limit,
         [self = this->shared_from_this(), next,
          number](std::optional<fetched> response)
         {
-            weights::end_fetch(self->line, number, clock::now());
+            weights::end_fetch(self->receive_queue, number, clock::now());
             auto const is_wanted =
                 number == 0 || self->fetches.erase(number) > 0;
             if (response && response->status == 200)
             {
-                self->take_chunk(
+                self->on_chunk(
                     next.version, next.wanted.index, std::move(response->body));
             }
             else if (is_wanted)
             {
-                self->lose(next, response ? response->status : 0);
+                self->on_chunk_failed(next, response ? response->status : 0);
             }
             self->fetch_ready();
         });
 }
 
-std::uint64_t version_fetch::begin(ready_chunk const& next)
+std::uint64_t version_fetch::register_fetch(ready_chunk const& next)
 {
     auto const number = weights::begin_fetch(
-        this->line, next.wanted.source.agent, clock::now());
+        this->receive_queue, next.wanted.source.agent, clock::now());
     this->fetches[number] = next;
     return number;
 }
 
-void version_fetch::lose(ready_chunk const& asked, unsigned status)
+void version_fetch::on_chunk_failed(ready_chunk const& asked, unsigned status)
 {
     auto& state = *this->context;
     auto const from_origin = asked.wanted.source.agent.empty();
@@ -451,12 +467,12 @@
         asked.wanted.index, why, clock::now());
 }
 
-void version_fetch::take_chunk(
+void version_fetch::on_chunk(
     std::uint64_t version, std::uint32_t index, std::string bytes)
 {
     auto& state = *this->context;
     auto& held = state.versions[version];
-    auto const was_whole = weights::is_whole(held.transfer);
+    auto const was_complete = weights::is_whole(held.transfer);
     auto const good = weights::deliver(
         held.transfer, state.sources, index, std::move(bytes), clock::now());
     if (!good)
@@ -467,9 +483,9 @@
     }
     else
     {
-        held.last_news = clock::now();
+        held.last_progress = clock::now();
     }
-    if (good && !was_whole && weights::is_whole(held.transfer))
+    if (good && !was_complete && weights::is_whole(held.transfer))
     {
         kernel::log_event(
             kernel::event_id::transfer_finished, {{"version", version}});
--- a/libs/gateway/src/version_fetch.hpp
+++ b/libs/gateway/src/version_fetch.hpp
@@ -13,57 +13,62 @@
 namespace foxtailvale::gateway
 {
 
-// Gets manifests and chunks of versions into an agent's memory, from other
-// agents where it can and from the origin where it must.
+// Fetches manifests and chunks of versions into an agent's memory: from other
+// agents where possible, otherwise from the origin.
 class version_fetch : public std::enable_shared_from_this<version_fetch>
 {
 public:
     explicit version_fetch(std::shared_ptr<agent_context> shared);
 
-    // Begins what can be begun now for the version. Without `chunks` only the
-    // manifest is fetched.
-    void drive(std::uint64_t version, bool chunks);
+    // Sends the requests for the version that can be sent now. Without `chunks`
+    // only the manifest is fetched.
+    void advance(std::uint64_t version, bool chunks);
 
-    // Called when a manifest or a chunk has come.
+    // Called when a manifest or a chunk has arrived.
     std::function<void()> on_progress;
 
 private:
-    // Whom to ask for the version's manifest now; empty for the origin, nothing
-    // while it has to wait.
+    // Where to request the version's manifest now: the address of a peer, empty
+    // for the origin; nothing while the request has to wait.
     std::optional<std::string>
     manifest_source(held_version& held, std::uint64_t version) const;
     void fetch_manifest(std::uint64_t version);
-    void take_manifest(
-        std::uint64_t version, std::optional<std::string> const& body);
-    void ask_for_chunks(std::uint64_t version);
-    // Says once a second which chunks a transfer waits for, and from whom.
-    void tell_waiting(std::uint64_t version);
-    // A chunk that its source holds and that waits for room on the own link.
+    void
+    on_manifest(std::uint64_t version, std::optional<std::string> const& body);
+    void request_chunks(std::uint64_t version);
+    // Logs once a second which chunks a transfer is waiting for, and from which
+    // sources.
+    void log_waiting(std::uint64_t version);
+    // A chunk that its source has promised and whose fetch waits for capacity
+    // on this agent's link.
     struct ready_chunk
     {
         std::uint64_t version = 0;
         weights::chunk_ask wanted;
     };
 
-    void ask(std::uint64_t version, weights::chunk_ask const& wanted);
-    // Asks an agent that draws from the origin whether it lives.
-    void check(std::uint64_t version, weights::chunk_source const& drawer);
+    void request_chunk(std::uint64_t version, weights::chunk_ask const& wanted);
+    // Checks whether an agent that fetches from the origin is alive.
+    void check_peer(
+        std::uint64_t version, weights::chunk_source const& origin_fetcher);
     void fetch_ready();
     void fetch_chunk(ready_chunk const& next);
-    // Numbers a fetch from another agent.
-    std::uint64_t begin(ready_chunk const& next);
-    // Asks elsewhere for chunks that stand before squeezed links.
-    void leave_squeezed(base::time_point now);
-    void lose(ready_chunk const& asked, unsigned status);
+    // Registers a fetch from another agent and returns its number.
+    std::uint64_t register_fetch(ready_chunk const& next);
+    // Withdraws fetches that are stuck behind slow links, so that their chunks
+    // are requested elsewhere.
+    void withdraw_slow_fetches(base::time_point now);
+    void on_chunk_failed(ready_chunk const& asked, unsigned status);
     void
-    take_chunk(std::uint64_t version, std::uint32_t index, std::string bytes);
+    on_chunk(std::uint64_t version, std::uint32_t index, std::string bytes);
 
-    // The chunk has come another way; the question for it is forgotten.
-    bool is_held(ready_chunk const& next);
+    // Withdraws the request and returns true when the chunk has already arrived
+    // from another source.
+    bool drop_if_held(ready_chunk const& next);
     std::shared_ptr<agent_context> context;
-    std::deque<ready_chunk> ready;
-    weights::receive_line line;
-    // Fetches whose chunk is not asked for elsewhere, by number.
+    std::deque<ready_chunk> ready_chunks;
+    weights::receive_line receive_queue;
+    // Fetches by number, without those that were withdrawn.
     std::map<std::uint64_t, ready_chunk> fetches;
     boost::asio::steady_timer timer;
 };
--- a/libs/gateway/tests/switch_sight_tests.cpp
+++ b/libs/gateway/tests/switch_sight_tests.cpp
@@ -1,4 +1,4 @@
-#include "../src/switch_sight.hpp"
+#include "../src/switch_log.hpp"
 
 #include <gtest/gtest.h>
 
@@ -33,7 +33,7 @@
     plan.serving = 1;
     plan.target = 2;
     plan.first = 2;
-    plan.named = start;
+    plan.announced_at = start;
     plan.turn = start + turn;
     plan.bound = bound;
     return plan;
@@ -43,9 +43,9 @@
 
 TEST(plan_of, counts_from_the_version_whose_bound_ends_the_one_in_use)
 {
-    std::vector<weights::named_target> const named{
+    std::vector<weights::named_target> const announced{
         {2, start}, {3, start + seconds(1)}};
-    auto const ask = ask_of(1, named);
+    auto const ask = ask_of(1, announced);
     auto const plan = plan_of(ask, 3, 12);
     ASSERT_TRUE(plan);
     EXPECT_EQ(plan->first, 2U);
@@ -62,49 +62,53 @@
         std::chrono::duration_cast<milliseconds>(plan->turn - start).count());
 }
 
-TEST(plan_of, is_nothing_for_an_engine_without_weights_or_on_the_newest)
+TEST(plan_of, is_empty_for_an_engine_without_weights_or_on_the_newest_version)
 {
-    std::vector<weights::named_target> const named{{2, start}};
-    EXPECT_FALSE(plan_of(ask_of(0, named), 2, 0));
-    EXPECT_FALSE(plan_of(ask_of(2, named), 2, 0));
-    auto const plan = plan_of(ask_of(1, named), 2, std::nullopt);
+    std::vector<weights::named_target> const announced{{2, start}};
+    EXPECT_FALSE(plan_of(ask_of(0, announced), 2, 0));
+    EXPECT_FALSE(plan_of(ask_of(2, announced), 2, 0));
+    auto const plan = plan_of(ask_of(1, announced), 2, std::nullopt);
     ASSERT_TRUE(plan);
     EXPECT_EQ(fields_of(*plan)["missing"], -1);
 }
 
-// While chunks come, each of them moves the turn; a line for each would be
-// thousands in a fleet.
-TEST(is_news, is_few_lines_while_the_turn_moves)
+// Every arriving chunk moves the turn. One line for each would make thousands
+// of lines in a fleet.
+TEST(is_news, is_true_only_a_few_times_while_the_turn_moves)
 {
-    told_plan told;
+    logged_plan last_logged;
     auto lines = 0;
     for (milliseconds at{0}; at < seconds(4); at += milliseconds(10))
     {
         auto const plan = plan_at(seconds(3) + at);
-        if (is_news(told, plan, start + at))
+        if (should_log_plan(last_logged, plan, start + at))
         {
             ++lines;
-            told = {plan, start + at};
+            last_logged = {plan, start + at};
         }
     }
     EXPECT_GE(lines, 10);
     EXPECT_LE(lines, 16);
 }
 
-TEST(is_news, is_no_plan_that_stays)
+TEST(is_news, is_false_for_an_unchanged_plan)
 {
-    told_plan const told{plan_at(seconds(3)), start};
+    logged_plan const last_logged{plan_at(seconds(3)), start};
     auto const later = start + seconds(1);
-    EXPECT_FALSE(is_news(told, plan_at(milliseconds(3090)), later));
-    EXPECT_TRUE(is_news(told, plan_at(milliseconds(3110)), later));
-    EXPECT_TRUE(is_news(told, plan_at(milliseconds(2890)), later));
+    EXPECT_FALSE(
+        should_log_plan(last_logged, plan_at(milliseconds(3090)), later));
+    EXPECT_TRUE(
+        should_log_plan(last_logged, plan_at(milliseconds(3110)), later));
+    EXPECT_TRUE(
+        should_log_plan(last_logged, plan_at(milliseconds(2890)), later));
     auto other = plan_at(seconds(3));
     other.target = 3;
-    EXPECT_TRUE(is_news(told, other, later));
+    EXPECT_TRUE(should_log_plan(last_logged, other, later));
 }
 
-// An engine was still on the older version at its bound. Whether its chunks
-// came late, lay staged late or the engine was not there was not to be told.
+// An engine was still on the older version at its bound, and the logs did not
+// show whether its chunks came late, were staged late or the engine did not
+// respond.
 TEST(late_by, names_the_step_that_took_longest)
 {
     auto const plan = plan_at(seconds(3));
@@ -123,7 +127,7 @@
     EXPECT_EQ(by({after(1500), after(3600), after(3610)}, 3700), "staging");
 }
 
-TEST(add_steps, counts_all_from_the_naming)
+TEST(add_steps, counts_all_times_from_the_announcement)
 {
     auto const plan = plan_at(seconds(3));
     nlohmann::json fields;
