--- a/libs/gateway/src/agent.cpp
+++ b/libs/gateway/src/agent.cpp
@@ -94,11 +94,11 @@
     }
     if (auto const fault = this->weights_server->open())
     {
-        return "peers' address: " + *fault;
+        return "cannot listen on the peer address: " + *fault;
     }
     if (auto const fault = this->reports->open())
     {
-        return "peers' address: " + *fault;
+        return "cannot listen on the peer address: " + *fault;
     }
     this->await_signal();
     this->run_housekeeping();
