--- a/libs/agent_core/src/reservation_flow.cpp
+++ b/libs/agent_core/src/reservation_flow.cpp
@@ -154,7 +154,7 @@
     base::time_point now)
 {
     auto& requests = state.requests;
-    if (answer.body().size() > request::most_stored_bytes)
+    if (answer.body().size() > request::max_stored_bytes)
     {
         answer.clear_body();
         answer.set_body_kept(false);
--- a/libs/request/include/request/claim.hpp
+++ b/libs/request/include/request/claim.hpp
@@ -40,7 +40,7 @@
 
 // Largest answer that is stored, in bytes. The platform's values hold a
 // megabyte; base64 adds a third, and the rest is left for the other members.
-inline constexpr std::size_t most_stored_bytes = 512UL * 1024;
+inline constexpr std::size_t max_stored_bytes = 512UL * 1024;
 
 // What names a call: the same key of two workspaces is two calls.
 struct claim_name
--- a/libs/request/src/claim.cpp
+++ b/libs/request/src/claim.cpp
@@ -83,7 +83,7 @@
 
 std::string to_text(claim const& value)
 {
-    auto const kept = value.body_kept && value.body.size() <= most_stored_bytes;
+    auto const kept = value.body_kept && value.body.size() <= max_stored_bytes;
     json text{
         {"attempt", base::to_string(value.attempt)},
         {"agent", value.agent},
--- a/libs/request/tests/claim_tests.cpp
+++ b/libs/request/tests/claim_tests.cpp
@@ -30,7 +30,7 @@
 {
     claim before;
     before.state = claim_state::finished;
-    before.body.assign(most_stored_bytes + 1, 'x');
+    before.body.assign(max_stored_bytes + 1, 'x');
     auto const text = to_text(before);
     EXPECT_LT(text.size(), 1024U);
     auto const after = parse_claim(text);
