--- a/libs/entry_core/src/attempt_flow.cpp
+++ b/libs/entry_core/src/attempt_flow.cpp
@@ -357,7 +357,7 @@
         {.own_domain = state.self.failure_domain,
          .prefix = open.request.prefix,
          .tried = open.tried,
-         .emptiest =
+         .prefer_least_loaded =
              open.losses > 0 ||
              request::has_crashed(state.requests.suspects, open.fingerprint)},
         state.random);
--- a/libs/request/include/request/placement.hpp
+++ b/libs/request/include/request/placement.hpp
@@ -31,7 +31,7 @@
     std::vector<std::string> tried;
     // The request may have crashed an endpoint: it goes where the fewest
     // others would fall with it.
-    bool emptiest = false;
+    bool prefer_least_loaded = false;
 };
 
 // Chooses an endpoint, or nullptr when none has room. Own failure domain first
--- a/libs/request/src/placement.cpp
+++ b/libs/request/src/placement.cpp
@@ -83,7 +83,7 @@
         {
             continue;
         }
-        if (ask.emptiest)
+        if (ask.prefer_least_loaded)
         {
             return *std::ranges::min_element(
                 open, {},
