--- a/libs/entry_core/src/queue_flow.cpp
+++ b/libs/entry_core/src/queue_flow.cpp
@@ -157,10 +157,10 @@
         return;
     }
     auto const came = request::arrive(pool.queue, as_waiting(state, open), now);
-    if (came.pushed_out)
+    if (came.evicted)
     {
         refuse_waiting(
-            state, *came.pushed_out, {base::error_kind::queue_full, {}}, now,
+            state, *came.evicted, {base::error_kind::queue_full, {}}, now,
             out);
     }
     if (came.refused)
--- a/libs/request/include/request/admission.hpp
+++ b/libs/request/include/request/admission.hpp
@@ -75,7 +75,7 @@
     // Why it was refused; unset when it waits.
     std::optional<base::error_kind> refused;
     // A request that was pushed out in its favour and must be refused at once.
-    std::optional<waiting_id> pushed_out;
+    std::optional<waiting_id> evicted;
 };
 
 // Made for a burst or a lasting overload. Refuses on arrival what measured
--- a/libs/request/src/admission.cpp
+++ b/libs/request/src/admission.cpp
@@ -132,9 +132,9 @@
                  : base::error_kind::queue_full,
             {}};
     }
-    auto const pushed_out = push_out(queue, victim->second);
+    auto const evicted = push_out(queue, victim->second);
     append(queue, std::move(request));
-    return {std::nullopt, pushed_out};
+    return {std::nullopt, evicted};
 }
 
 } // namespace
--- a/libs/request/tests/admission_tests.cpp
+++ b/libs/request/tests/admission_tests.cpp
@@ -105,9 +105,9 @@
         {
             this->refuse(from.workspace, request.id, now);
         }
-        if (came.pushed_out)
+        if (came.evicted)
         {
-            this->refuse("pushed out", *came.pushed_out, now);
+            this->refuse("pushed out", *came.evicted, now);
         }
         this->result.longest_queue =
             std::max(this->result.longest_queue, this->queue.size);
@@ -277,12 +277,12 @@
     arrive(queue, waiting(3, "large", 2), {});
     auto const small = arrive(queue, waiting(4, "small"), {});
     EXPECT_FALSE(small.refused);
-    EXPECT_EQ(small.pushed_out, 2U);
+    EXPECT_EQ(small.evicted, 2U);
     EXPECT_EQ(queue.size, 3U);
     auto const large = arrive(queue, waiting(5, "large", 2), {});
     EXPECT_EQ(large.refused, base::error_kind::workspace_over_share);
     auto const urgent = arrive(queue, waiting(6, "large", 9), {});
-    EXPECT_TRUE(urgent.pushed_out);
+    EXPECT_TRUE(urgent.evicted);
 }
 
 TEST(admission, retries_are_a_tenth_of_the_load)
