--- a/libs/entry_core/src/attempt_flow.cpp
+++ b/libs/entry_core/src/attempt_flow.cpp
@@ -359,7 +359,7 @@
          .tried = open.tried,
          .prefer_least_loaded =
              open.losses > 0 ||
-             request::has_crashed(state.requests.suspects, open.fingerprint)},
+             request::has_crash_record(state.requests.suspects, open.fingerprint)},
         state.random);
     if (chosen == nullptr)
     {
--- a/libs/gateway/src/call_end.cpp
+++ b/libs/gateway/src/call_end.cpp
@@ -103,7 +103,7 @@
             now_running.body);
     }
     this->log_answer(status);
-    if (request::has_crashed(this->context->suspects, this->print))
+    if (request::has_crash_record(this->context->suspects, this->print))
     {
         request::note_answered(this->context->suspects, this->print);
         this->context->tell_crash(this->print, now_running.endpoint, true);
--- a/libs/request/include/request/suspects.hpp
+++ b/libs/request/include/request/suspects.hpp
@@ -58,7 +58,7 @@
 
 // Whether an endpoint crashed under it at least once: it runs next where few
 // others would fall with it.
-bool has_crashed(suspect_list const& state, fingerprint request);
+bool has_crash_record(suspect_list const& state, fingerprint request);
 
 // An operator lets it run again; false when it was not on the list.
 bool release(suspect_list& state, fingerprint request);
--- a/libs/request/src/suspects.cpp
+++ b/libs/request/src/suspects.cpp
@@ -56,7 +56,7 @@
     return found != state.records.end() && is_suspect(found->second);
 }
 
-bool has_crashed(suspect_list const& state, fingerprint request)
+bool has_crash_record(suspect_list const& state, fingerprint request)
 {
     return state.records.contains(request);
 }
