--- a/libs/entry_core/src/queue_flow.cpp
+++ b/libs/entry_core/src/queue_flow.cpp
@@ -182,7 +182,7 @@
             state, open, {base::error_kind::no_endpoint, {}}, now, out);
         return;
     }
-    request::rejoin(pool.queue, as_waiting(state, open));
+    request::requeue(pool.queue, as_waiting(state, open));
     serve_pool(state, pool, now, out);
 }
 
--- a/libs/request/include/request/admission.hpp
+++ b/libs/request/include/request/admission.hpp
@@ -89,7 +89,7 @@
 
 // Puts a request back at the head of its line: it was started and an endpoint
 // had no room for it after all.
-void rejoin(admission_queue& queue, waiting_request request);
+void requeue(admission_queue& queue, waiting_request request);
 
 // The request that runs next: of the workspace that has had the least for its
 // weight, the oldest of its highest priority. Nothing when none waits.
--- a/libs/request/src/admission.cpp
+++ b/libs/request/src/admission.cpp
@@ -174,7 +174,7 @@
     return {};
 }
 
-void rejoin(admission_queue& queue, waiting_request request)
+void requeue(admission_queue& queue, waiting_request request)
 {
     auto& line = queue.workspaces[request.workspace];
     line.weight = std::max(request.weight, 1U);
