--- a/libs/routing/include/routing/routes.hpp
+++ b/libs/routing/include/routing/routes.hpp
@@ -44,7 +44,7 @@
     // on serving a key that was taken away. It shows as answers to a former
     // customer; the limit holds because a read that began within it saw every
     // withdrawal that is older than it.
-    std::chrono::milliseconds for_keys{3800};
+    std::chrono::milliseconds max_age_for_keys{3800};
     // Beyond it "no such route" and "no such key" are not said: the route or
     // key may have been added meanwhile, and callers do not come back after
     // such an answer.
--- a/libs/routing/src/routes.cpp
+++ b/libs/routing/src/routes.cpp
@@ -160,7 +160,7 @@
         return base::fail(error_kind::stale_configuration);
     }
     if (allowed.has_value() && allowed.value().owner != nullptr &&
-        ask.age > limits.for_keys)
+        ask.age > limits.max_age_for_keys)
     {
         return base::fail(error_kind::stale_configuration);
     }
--- a/libs/routing/tests/routes_tests.cpp
+++ b/libs/routing/tests/routes_tests.cpp
@@ -160,7 +160,7 @@
             limits);
         if (permitted.has_value())
         {
-            EXPECT_TRUE(is_open || age <= limits.for_keys)
+            EXPECT_TRUE(is_open || age <= limits.max_age_for_keys)
                 << "seed 17, course " << course;
             continue;
         }
