--- a/libs/gateway/src/call.cpp
+++ b/libs/gateway/src/call.cpp
@@ -116,7 +116,7 @@
     routing::view_limits limits;
     auto const bound = this->context->settings.promised.key_revocation;
     limits.max_age_for_keys = bound - stale_margin;
-    limits.for_denials = limits.max_age_for_keys;
+    limits.max_age_for_denials = limits.max_age_for_keys;
     auto const permitted = routing::permit(
         this->configuration.get(),
         {this->said.host, this->request.target, this->said.key, age}, limits);
--- a/libs/routing/include/routing/routes.hpp
+++ b/libs/routing/include/routing/routes.hpp
@@ -48,7 +48,7 @@
     // Beyond it "no such route" and "no such key" are not said: the route or
     // key may have been added meanwhile, and callers do not come back after
     // such an answer.
-    std::chrono::milliseconds for_denials{3800};
+    std::chrono::milliseconds max_age_for_denials{3800};
 };
 
 // What a request may use.
--- a/libs/routing/src/routes.cpp
+++ b/libs/routing/src/routes.cpp
@@ -149,13 +149,13 @@
     if (chosen == nullptr)
     {
         return base::fail(
-            ask.age > limits.for_denials ? error_kind::stale_configuration
+            ask.age > limits.max_age_for_denials ? error_kind::stale_configuration
                                          : error_kind::unknown_route);
     }
     auto allowed = permit_owner(*current, *chosen, ask.key);
     if (allowed.has_error() &&
         allowed.error().kind == error_kind::unknown_key &&
-        ask.age > limits.for_denials)
+        ask.age > limits.max_age_for_denials)
     {
         return base::fail(error_kind::stale_configuration);
     }
--- a/libs/routing/tests/routes_tests.cpp
+++ b/libs/routing/tests/routes_tests.cpp
@@ -165,7 +165,7 @@
             continue;
         }
         auto const kind = permitted.error().kind;
-        if (age > limits.for_denials)
+        if (age > limits.max_age_for_denials)
         {
             EXPECT_EQ(base::row_of(kind).status, 503)
                 << "seed 17, course " << course;
