--- a/libs/direct/include/direct/attempt_limit.hpp
+++ b/libs/direct/include/direct/attempt_limit.hpp
@@ -16,7 +16,7 @@
 // An attempt whose connection is open, as its entry sees it.
 struct attempt_progress
 {
-    routing::repetition repeats = routing::repetition::non_idempotent;
+    routing::retry_safety repeats = routing::retry_safety::non_idempotent;
     bool streams = false;
     // What callers of the route expect to wait: for the answer or a stream's
     // first event, and between two events.
--- a/libs/direct/include/direct/retry.hpp
+++ b/libs/direct/include/direct/retry.hpp
@@ -37,7 +37,7 @@
 // What is known when an attempt failed.
 struct retry_query
 {
-    routing::repetition repeats = routing::repetition::non_idempotent;
+    routing::retry_safety repeats = routing::retry_safety::non_idempotent;
     base::ran_state ran = base::ran_state::unknown;
     // Endpoints on which the request has run or may have run so far.
     std::uint32_t runs = 0;
--- a/libs/direct/src/attempt_limit.cpp
+++ b/libs/direct/src/attempt_limit.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-using routing::repetition;
+using routing::retry_safety;
 using std::chrono::milliseconds;
 
 // Time to the first byte after which a silent endpoint is given up, for
@@ -37,7 +37,7 @@
 
 bool is_last_attempt(attempt_progress const& attempt)
 {
-    return attempt.repeats == repetition::non_idempotent ||
+    return attempt.repeats == retry_safety::non_idempotent ||
            attempt.runs + 1 >=
                std::max<std::uint32_t>(attempt.most_attempts, 1);
 }
@@ -82,7 +82,7 @@
     {
         return std::nullopt;
     }
-    if (attempt.repeats == repetition::non_idempotent)
+    if (attempt.repeats == retry_safety::non_idempotent)
     {
         // A plain request cannot be asked again by anybody; an answer may still
         // come before its caller's time is up.
--- a/libs/direct/src/repeat.cpp
+++ b/libs/direct/src/repeat.cpp
@@ -5,7 +5,7 @@
 
 using base::error_kind;
 using base::ran_state;
-using routing::repetition;
+using routing::retry_safety;
 
 base::ran_state judge_run(attempt_facts const& facts)
 {
@@ -38,14 +38,14 @@
     }
     if (ask.answer_begun)
     {
-        return ask.repeats == repetition::resumable &&
+        return ask.repeats == retry_safety::resumable &&
                (ask.ran == ran_state::no || ask.runs < ask.most_attempts);
     }
     if (ask.ran == ran_state::no && ask.runs == 0)
     {
         return true;
     }
-    if (ask.repeats == repetition::non_idempotent)
+    if (ask.repeats == retry_safety::non_idempotent)
     {
         return false;
     }
--- a/libs/direct/tests/attempt_limit_tests.cpp
+++ b/libs/direct/tests/attempt_limit_tests.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-using routing::repetition;
+using routing::retry_safety;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -18,7 +18,7 @@
 attempt_progress stream()
 {
     return {
-        .repeats = repetition::resumable,
+        .repeats = retry_safety::resumable,
         .streams = true,
         .goal = milliseconds(400),
         .gap_goal = milliseconds(300),
@@ -82,7 +82,7 @@
     attempt.begun = start + milliseconds(1700);
     attempt.last_byte = attempt.begun;
     EXPECT_EQ(attempt_deadline(attempt), start + milliseconds(2100));
-    attempt.repeats = repetition::non_idempotent;
+    attempt.repeats = retry_safety::non_idempotent;
     EXPECT_EQ(attempt_deadline(attempt), start + milliseconds(2100));
 }
 
@@ -90,7 +90,7 @@
 TEST(attempt_limit, a_plain_request_that_may_run_once_is_waited_for)
 {
     auto attempt = at_lost_endpoint(last_of(stream()));
-    attempt.repeats = repetition::non_idempotent;
+    attempt.repeats = retry_safety::non_idempotent;
     attempt.streams = false;
     EXPECT_FALSE(attempt_deadline(attempt));
 }
@@ -99,7 +99,7 @@
 TEST(attempt_limit, a_plain_request_that_may_be_repeated_ends)
 {
     auto attempt = at_lost_endpoint(last_of(stream()));
-    attempt.repeats = repetition::idempotent;
+    attempt.repeats = retry_safety::idempotent;
     attempt.streams = false;
     attempt.goal = milliseconds(120);
     EXPECT_EQ(attempt_deadline(attempt), start + milliseconds(600));
--- a/libs/direct/tests/played_entries.cpp
+++ b/libs/direct/tests/played_entries.cpp
@@ -198,7 +198,7 @@
     auto const& book = state.entries[asked.entry].book;
     auto const& known = book.endpoints.at(id_of_engine(*asked.engine));
     return attempt_deadline(
-        {.repeats = routing::repetition::resumable,
+        {.repeats = routing::retry_safety::resumable,
          .streams = true,
          .goal = caller_goal,
          .gap_goal = caller_gap_goal,
@@ -290,7 +290,7 @@
         asked.ran = ran;
     }
     retry_query const ask{
-        .repeats = routing::repetition::resumable,
+        .repeats = routing::retry_safety::resumable,
         .ran = ran,
         .runs = asked.runs,
         .most_attempts = most_attempts,
--- a/libs/direct/tests/repeat_tests.cpp
+++ b/libs/direct/tests/repeat_tests.cpp
@@ -10,9 +10,9 @@
 {
 
 using base::ran_state;
-using routing::repetition;
+using routing::retry_safety;
 
-retry_query failed_once(repetition repeats, ran_state ran)
+retry_query failed_once(retry_safety repeats, ran_state ran)
 {
     retry_query ask;
     ask.repeats = repeats;
@@ -74,16 +74,16 @@
 TEST(is_retry_allowed, what_may_run_once_is_repeated_only_when_it_did_not_run)
 {
     EXPECT_TRUE(
-        is_retry_allowed(failed_once(repetition::non_idempotent, ran_state::no)));
+        is_retry_allowed(failed_once(retry_safety::non_idempotent, ran_state::no)));
     EXPECT_FALSE(is_retry_allowed(
-        failed_once(repetition::non_idempotent, ran_state::unknown)));
+        failed_once(retry_safety::non_idempotent, ran_state::unknown)));
     EXPECT_FALSE(
-        is_retry_allowed(failed_once(repetition::non_idempotent, ran_state::yes)));
+        is_retry_allowed(failed_once(retry_safety::non_idempotent, ran_state::yes)));
 }
 
 TEST(is_retry_allowed, what_may_run_again_is_repeated_up_to_its_attempts)
 {
-    auto ask = failed_once(repetition::idempotent, ran_state::unknown);
+    auto ask = failed_once(retry_safety::idempotent, ran_state::unknown);
     EXPECT_TRUE(is_retry_allowed(ask));
     ask.runs = 2;
     EXPECT_FALSE(is_retry_allowed(ask));
@@ -91,10 +91,10 @@
 
 TEST(is_retry_allowed, only_a_stream_that_resumes_goes_on_after_its_first_event)
 {
-    auto ask = failed_once(repetition::resumable, ran_state::yes);
+    auto ask = failed_once(retry_safety::resumable, ran_state::yes);
     ask.answer_begun = true;
     EXPECT_TRUE(is_retry_allowed(ask));
-    ask.repeats = repetition::idempotent;
+    ask.repeats = retry_safety::idempotent;
     EXPECT_FALSE(is_retry_allowed(ask));
 }
 
--- a/libs/gateway/src/call.cpp
+++ b/libs/gateway/src/call.cpp
@@ -14,7 +14,7 @@
 
 using base::error_kind;
 using base::ran_state;
-using routing::repetition;
+using routing::retry_safety;
 using std::chrono::milliseconds;
 using clock = std::chrono::steady_clock;
 
--- a/libs/gateway/src/call_attempt.cpp
+++ b/libs/gateway/src/call_attempt.cpp
@@ -14,7 +14,7 @@
 
 using base::error_kind;
 using base::ran_state;
-using routing::repetition;
+using routing::retry_safety;
 using std::chrono::milliseconds;
 using clock = std::chrono::steady_clock;
 
@@ -33,7 +33,7 @@
     auto const& target = chosen.chosen->listed;
     auto const now = clock::now();
     auto const strict =
-        this->allowed.chosen->repeats == repetition::non_idempotent;
+        this->allowed.chosen->repeats == retry_safety::non_idempotent;
     auto connection = this->context->pool.take(
         target.address, strict ? fresh_connection : any_connection);
     if (!connection)
--- a/libs/gateway/src/call_end.cpp
+++ b/libs/gateway/src/call_end.cpp
@@ -11,7 +11,7 @@
 
 using base::error_kind;
 using base::ran_state;
-using routing::repetition;
+using routing::retry_safety;
 using std::chrono::milliseconds;
 using clock = std::chrono::steady_clock;
 
@@ -52,7 +52,7 @@
     auto const status = now_running.said.status;
     // An endpoint's own failure may be tried elsewhere where that is allowed.
     if (!is_success(status) && status >= 500 && !this->answer_begun &&
-        this->allowed.chosen->repeats != repetition::non_idempotent &&
+        this->allowed.chosen->repeats != retry_safety::non_idempotent &&
         this->runs + 1 < this->allowed.chosen->most_attempts)
     {
         auto const failed = now_running;
--- a/libs/routing/include/routing/configuration.hpp
+++ b/libs/routing/include/routing/configuration.hpp
@@ -16,7 +16,7 @@
 
 // What may be repeated. A stream that may not be resumed counts as
 // non_idempotent; a configuration's reader applies that.
-enum class repetition
+enum class retry_safety
 {
     idempotent,
     non_idempotent,
@@ -39,7 +39,7 @@
     std::string host;
     // Begins and ends with a slash.
     std::string path_prefix;
-    repetition repeats = repetition::non_idempotent;
+    retry_safety repeats = retry_safety::non_idempotent;
     bool streams = false;
     // Longest time from the request's arrival to its final answer.
     std::chrono::milliseconds timeout{0};
