--- a/libs/gateway/include/gateway/entry_context.hpp
+++ b/libs/gateway/include/gateway/entry_context.hpp
@@ -75,7 +75,7 @@
     std::map<std::string, waiting_line> waiting;
     // Requests that this entry and its neighbours refused, and those of them
     // that the neighbours are still to be told of.
-    request::refusal_book refusals;
+    request::recent_refusals refusals;
     std::vector<request::fingerprint> untold_refusals;
     // IP addresses of the other entries of this failure domain, where callers
     // come back to.
--- a/libs/request/include/request/refusals.hpp
+++ b/libs/request/include/request/refusals.hpp
@@ -21,7 +21,7 @@
 namespace foxtailvale::request
 {
 
-struct refusal_book
+struct recent_refusals
 {
     std::unordered_map<fingerprint, base::time_point> refused;
     // The same, oldest first.
@@ -37,14 +37,14 @@
 inline constexpr std::size_t most_refusals = 4096;
 
 void note_refusal(
-    refusal_book& state, fingerprint request, base::time_point now);
+    recent_refusals& state, fingerprint request, base::time_point now);
 
 // When the request was refused, if it was a moment ago.
 std::optional<base::time_point> refused_at(
-    refusal_book const& state, fingerprint request, base::time_point now);
+    recent_refusals const& state, fingerprint request, base::time_point now);
 
 // Forgets what is past its time.
-void expire(refusal_book& state, base::time_point now);
+void expire(recent_refusals& state, base::time_point now);
 
 } // namespace foxtailvale::request
 
--- a/libs/request/src/refusals.cpp
+++ b/libs/request/src/refusals.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-void forget_oldest(refusal_book& state)
+void forget_oldest(recent_refusals& state)
 {
     auto const& [request, at] = state.order.front();
     auto const found = state.refused.find(request);
@@ -21,7 +21,7 @@
 } // namespace
 
 void note_refusal(
-    refusal_book& state, fingerprint request, base::time_point now)
+    recent_refusals& state, fingerprint request, base::time_point now)
 {
     state.refused[request] = now;
     state.order.emplace_back(request, now);
@@ -32,7 +32,7 @@
 }
 
 std::optional<base::time_point>
-refused_at(refusal_book const& state, fingerprint request, base::time_point now)
+refused_at(recent_refusals const& state, fingerprint request, base::time_point now)
 {
     auto const found = state.refused.find(request);
     if (found == state.refused.end() || now - found->second > refusal_memory)
@@ -42,7 +42,7 @@
     return found->second;
 }
 
-void expire(refusal_book& state, base::time_point now)
+void expire(recent_refusals& state, base::time_point now)
 {
     while (!state.order.empty() &&
            now - state.order.front().second > refusal_memory)
--- a/libs/request/tests/refusals_tests.cpp
+++ b/libs/request/tests/refusals_tests.cpp
@@ -17,7 +17,7 @@
 
 TEST(refusals, one_that_comes_back_is_known)
 {
-    refusal_book book;
+    recent_refusals book;
     note_refusal(book, 7, start);
     EXPECT_EQ(refused_at(book, 7, start + seconds(2)), start);
     EXPECT_FALSE(refused_at(book, 8, start + seconds(2)));
@@ -25,7 +25,7 @@
 
 TEST(refusals, one_is_forgotten_when_its_caller_has_given_up)
 {
-    refusal_book book;
+    recent_refusals book;
     note_refusal(book, 7, start);
     auto const later = start + refusal_memory + milliseconds(1);
     EXPECT_FALSE(refused_at(book, 7, later));
@@ -36,7 +36,7 @@
 
 TEST(refusals, the_latest_refusal_counts)
 {
-    refusal_book book;
+    recent_refusals book;
     note_refusal(book, 7, start);
     note_refusal(book, 7, start + seconds(2));
     expire(book, start + seconds(4));
@@ -47,7 +47,7 @@
 // full load. The memory for it stays bounded.
 TEST(refusals, a_flood_forgets_the_oldest_first)
 {
-    refusal_book book;
+    recent_refusals book;
     auto const flood = most_refusals + 100;
     for (std::size_t number = 0; number < flood; ++number)
     {
