--- a/libs/agent_core/src/request_flow.cpp
+++ b/libs/agent_core/src/request_flow.cpp
@@ -116,7 +116,7 @@
         return base::fail(
             base::error_kind::version_mismatch, "not served here");
     }
-    request::gate_ask const ask{
+    request::gate_query const ask{
         attempt, target.digest(), serving_digest(state, target.model())};
     return request::admit(state.requests.gate, ask);
 }
--- a/libs/request/include/request/gate.hpp
+++ b/libs/request/include/request/gate.hpp
@@ -33,7 +33,7 @@
 };
 
 // What an attempt asks for and what the endpoint has.
-struct gate_ask
+struct gate_query
 {
     base::attempt_id attempt;
     // Digest that the request is pinned to and the one that serves; both
@@ -46,7 +46,7 @@
 void set_limits(gate& state, std::uint32_t warm, std::uint32_t cold);
 
 // Lets the attempt run or says why not. A refusal here means "not run".
-base::result<void> admit(gate& state, gate_ask const& ask);
+base::result<void> admit(gate& state, gate_query const& ask);
 
 // An attempt ended; only an answer on time lets the limit grow, doubling after
 // as many answers as the limit is, so that a cold endpoint warms up under a
--- a/libs/request/src/gate.cpp
+++ b/libs/request/src/gate.cpp
@@ -12,7 +12,7 @@
     state.limit = std::clamp(state.limit, state.cold_limit, state.warm_limit);
 }
 
-base::result<void> admit(gate& state, gate_ask const& ask)
+base::result<void> admit(gate& state, gate_query const& ask)
 {
     using base::error_kind;
     if (state.leaving)
