--- a/libs/request/include/request/gate.hpp
+++ b/libs/request/include/request/gate.hpp
@@ -11,51 +11,58 @@
 namespace foxtailvale::request
 {
 
-// The gate before one endpoint. Made for several hundred entries that cannot
-// agree on what one endpoint bears: whatever they send, no more than the limit
-// runs, because this one gate alone lets it through.
+// Concurrency limiter of one endpoint. Several hundred entries cannot agree on
+// how much load one endpoint can handle. However much they send, no more
+// attempts than the limit run, because all of them pass through this gate.
 struct gate
 {
-    // Limits as released: a cold endpoint falls over under a full load.
+    // Limits set by the release. The cold limit is lower because a cold
+    // endpoint crashes under full load.
     std::uint32_t warm_limit = 1;
     std::uint32_t cold_limit = 1;
-    // The limit now; grows from the cold to the warm one with answers.
+    // Current limit; grows from the cold to the warm limit as answers arrive.
     std::uint32_t limit = 1;
-    // Answers on time since the limit last grew.
+    // Answers on time since the limit last grew or was reset.
     std::uint32_t answers = 0;
-    // What the endpoint last said of itself.
+    // Whether the endpoint last reported that it is cold.
     bool reports_cold = false;
+    // The endpoint is leaving and accepts no new attempts.
     bool leaving = false;
+    // Whether the endpoint's failure domain is in service.
     bool domain_in = true;
-    // Instance of the endpoint that the limit was earned by.
+    // Instance of the endpoint whose answers raised the limit.
     std::string instance;
     std::set<base::attempt_id> running;
 };
 
-// What an attempt asks for and what the endpoint has.
+// An attempt with the version it requires and the version the endpoint serves.
 struct gate_query
 {
     base::attempt_id attempt;
-    // Digest that the request is pinned to and the one that serves; both
-    // empty for a plain service.
+    // Digest of the weights that the request is pinned to and of those being
+    // served; both empty for a plain service.
     std::string wanted_digest;
     std::string serving_digest;
 };
 
-// Takes new limits from a release without losing the ramp.
+// Applies new limits from a release. The current limit is clamped to them, so
+// that the progress of the ramp from cold to warm is kept.
 void set_limits(gate& state, std::uint32_t warm, std::uint32_t cold);
 
-// Lets the attempt run or says why not. A refusal here means "not run".
-base::result<void> admit(gate& state, gate_query const& ask);
+// Admits an attempt or returns why it is refused: endpoint_leaving, domain_out,
+// version_mismatch, endpoint_cold or endpoint_full. A refused attempt did not
+// run.
+base::result<void> admit(gate& state, gate_query const& query);
 
-// An attempt ended; only an answer on time lets the limit grow, doubling after
-// as many answers as the limit is, so that a cold endpoint warms up under a
-// load it has already borne. While the endpoint says that it is cold the limit
-// does not grow at all.
+// Records the end of an attempt. `answered` is true if it was answered on time;
+// only such answers let the limit grow. The limit doubles after as many answers
+// as its current value, so that a cold endpoint warms up under a load it has
+// already handled. While the endpoint reports that it is cold, the limit does
+// not grow.
 void finish(gate& state, base::attempt_id attempt, bool answered);
 
-// The endpoint turned out to be another instance or cold: back to the cold
-// limit. Attempts that run are left alone.
+// Resets the limit to the cold limit, after the endpoint turned out to be
+// another instance or cold. Running attempts are not affected.
 void turn_cold(gate& state, std::string instance);
 
 } // namespace foxtailvale::request
--- a/libs/request/include/request/placement.hpp
+++ b/libs/request/include/request/placement.hpp
@@ -10,39 +10,45 @@
 namespace foxtailvale::request
 {
 
-// An endpoint that could take a request, as this entry sees it.
+// An endpoint that may be chosen for a request, with its load as known to this
+// entry.
 struct candidate
 {
     std::string agent;
     std::string failure_domain;
-    // The gate's limit and load as last reported, with what this entry has
-    // sent since.
+    // Concurrency limit of the endpoint's gate and the number of running
+    // requests as last reported, plus those this entry has sent since.
     std::uint32_t limit = 0;
     std::uint32_t running = 0;
 };
 
-// What a placement goes by.
+// Input of `choose`.
 struct placement_query
 {
     std::string own_domain;
-    // Hash of the prompt's prefix; equal prefixes prefer equal endpoints.
+    // Hash of the prompt's prefix; requests with equal prefixes prefer the same
+    // endpoint. Zero means no preference.
     std::uint64_t prefix = 0;
-    // Agents that this request has tried already.
+    // Agents of the endpoints that this request was already sent to.
     std::vector<std::string> tried;
-    // The request may have crashed an endpoint: it goes where the fewest
-    // others would fall with it.
+    // Choose the endpoint with the fewest running requests. Set for requests
+    // that may have crashed an endpoint, so that another crash affects the
+    // fewest other requests.
     bool prefer_least_loaded = false;
 };
 
-// Chooses an endpoint, or nullptr when none has room. Own failure domain first
-// while it has room: the other domains' links are narrow and may be cut. Within
-// a domain the endpoint that the prefix hashes to, as long as it carries no
-// more than a quarter over the mean (bounded load: a popular prefix must not
-// bury one endpoint); else the freer of two random ones, which keeps entries
-// with equally old load reports from all choosing the same one.
+// Chooses an endpoint, or returns nullptr if none has a free slot.
+//
+// Prefers the own failure domain while it has free slots, because links to
+// other domains are narrow and may fail. Within a domain, takes the endpoint
+// that the prefix hashes to while its load is at most a quarter above the mean
+// (consistent hashing with bounded loads, so that a popular prefix does not
+// overload one endpoint). Otherwise takes the less loaded of two random
+// endpoints, so that entries with equally old load reports do not all choose
+// the same one.
 candidate const* choose(
     std::vector<candidate> const& candidates,
-    placement_query const& ask,
+    placement_query const& query,
     base::random_state& random);
 
 } // namespace foxtailvale::request
--- a/libs/request/include/request/refusals.hpp
+++ b/libs/request/include/request/refusals.hpp
@@ -11,39 +11,43 @@
 #include <unordered_map>
 #include <utility>
 
-// Requests that were refused a moment ago, here or at a neighbour, so that one
-// that comes back is known for what it is.
+// Tracks requests that this entry or a neighbouring one refused recently, so
+// that a resent request is recognised.
 //
-// Made for lasting overload, where a fifth of all requests has been refused
-// once: such a request can no longer be answered within its goal, and in front
-// of a fresh one it makes that one late too. What its caller still has of time
-// does not tell it: callers name times that differ by a seventh.
+// Under sustained overload a fifth of all requests have been refused once. Such
+// a request can no longer be answered within its goal, and if it runs before a
+// new request it makes that one late too. The remaining time does not identify
+// a resent request, because the times that callers set differ by a seventh.
 namespace foxtailvale::request
 {
 
 struct recent_refusals
 {
+    // Time of the latest refusal by request.
     std::unordered_map<fingerprint, base::time_point> refused;
-    // The same, oldest first.
+    // All remembered refusals, oldest first.
     std::deque<std::pair<fingerprint, base::time_point>> order;
 };
 
-// Callers come back within a third of their time: two seconds of six, and the
-// way there.
-inline constexpr std::chrono::milliseconds refusal_memory{3000};
+// Time for which a refusal is remembered. Callers resend within a third of
+// their time limit, which is 2 s of 6 s, plus the transit time.
+inline constexpr std::chrono::milliseconds refusal_retention{3000};
 
-// Past this many the oldest are forgotten: what a failure domain of a fleet of
-// 1,200 requests a second refuses in the time above when it refuses all.
-inline constexpr std::size_t most_refusals = 4096;
+// Maximum number of remembered refusals; beyond it the oldest are evicted.
+// Covers a failure domain of a fleet with 1,200 requests per second that
+// refuses all of them for the retention time.
+inline constexpr std::size_t max_refusals = 4096;
 
+// Records a refusal; evicts the oldest one if there are more than max_refusals.
 void note_refusal(
     recent_refusals& state, fingerprint request, base::time_point now);
 
-// When the request was refused, if it was a moment ago.
+// Time of the request's latest refusal; empty if it was not refused within the
+// retention time.
 std::optional<base::time_point> refused_at(
     recent_refusals const& state, fingerprint request, base::time_point now);
 
-// Forgets what is past its time.
+// Removes refusals that are older than the retention time.
 void expire(recent_refusals& state, base::time_point now);
 
 } // namespace foxtailvale::request
--- a/libs/request/include/request/suspects.hpp
+++ b/libs/request/include/request/suspects.hpp
@@ -9,20 +9,21 @@
 #include <string>
 #include <vector>
 
-// Requests that ran on endpoints as they crashed. Made for the request that
-// takes down every endpoint it runs on and that its caller sends again: left
-// alone, it empties a failure domain within seconds.
+// Tracks requests that were running on endpoints when these crashed. A request
+// that crashes every endpoint it runs on and is resent by its caller would take
+// down all endpoints of a failure domain within seconds.
 namespace foxtailvale::request
 {
 
-// Hash of what was asked.
+// Hash of the request's content.
 using fingerprint = std::uint64_t;
 
 struct crash_record
 {
-    // Endpoints that crashed under it.
+    // Time of the last crash by endpoint, for endpoints that crashed while they
+    // ran the request.
     std::map<std::string, base::time_point> endpoints;
-    base::time_point until;
+    base::time_point expires_at;
 };
 
 struct suspect_list
@@ -30,43 +31,50 @@
     std::map<fingerprint, crash_record> records;
 };
 
-// A caller may have mended its request or the engine its fault by then, and an
-// operator who sees the log entry had time to look.
-inline constexpr std::chrono::minutes suspect_length{10};
+// Time after the last crash at which a record expires. By then the request or
+// the engine may have been fixed, and an operator has had time to look into the
+// log entry.
+inline constexpr std::chrono::minutes suspect_duration{10};
 
-// Two different endpoints; one crash has many causes.
-inline constexpr std::size_t crashes_to_suspect = 2;
+// Number of different endpoints that must crash while running a request before
+// the request is suspect. One crash can have many other causes.
+inline constexpr std::size_t min_crashed_endpoints = 2;
 
-// A crashing engine takes its batch along, so each crash names up to a
-// hundred; past this the records that end first go.
-inline constexpr std::size_t most_crash_records = 4096;
+// Maximum number of records; beyond it the record that expires first is
+// evicted. An engine crash ends its whole batch, so a single crash adds up to a
+// hundred records.
+inline constexpr std::size_t max_crash_records = 4096;
 
-// Notes that the request ran on the endpoint as it crashed. True when it has
-// just become suspect by that.
+// Records that the request was running on the endpoint when it crashed. Returns
+// true if this made the request suspect.
 bool note_crash(
     suspect_list& state,
     fingerprint request,
     std::string const& endpoint,
     base::time_point now);
 
-// Notes that the request was answered. Failure: a common prompt happens to run
-// beside the culprit on two endpoints, and all its callers are refused. The
-// culprit never ends well; what does is no culprit.
+// Records that the request was answered and clears its crash record. Without
+// this, a common prompt that happens to run beside the crashing request on two
+// endpoints would be refused for all its callers. A request that crashes
+// endpoints is never answered, so an answered one is not the cause.
 void note_answered(suspect_list& state, fingerprint request);
 
+// Whether the request is refused: enough different endpoints crashed under it.
 bool is_suspect(suspect_list const& state, fingerprint request);
 
-// Whether an endpoint crashed under it at least once: it runs next where few
-// others would fall with it.
+// Whether at least one endpoint crashed while running the request. Such a
+// request is placed on the least loaded endpoint, where another crash affects
+// the fewest other requests.
 bool has_crash_record(suspect_list const& state, fingerprint request);
 
-// An operator lets it run again; false when it was not on the list.
+// Removes a request from the list on behalf of an operator, so that it may run
+// again. Returns false if it was not on the list.
 bool release(suspect_list& state, fingerprint request);
 
-// Forgets what is past its time.
+// Removes expired records.
 void expire(suspect_list& state, base::time_point now);
 
-// Those that are refused now.
+// Returns the requests that are currently suspect and therefore refused.
 std::vector<fingerprint> suspects(suspect_list const& state);
 
 } // namespace foxtailvale::request
--- a/libs/request/src/admission.cpp
+++ b/libs/request/src/admission.cpp
@@ -11,26 +11,28 @@
 
 using std::chrono::microseconds;
 
-// Weight of a new measurement: an eighth follows a change within some tens of
-// requests and is not thrown by one slow answer.
-constexpr std::int64_t smoothing = 8;
+// A new measurement has a weight of 1/8: the mean follows a change within some
+// tens of requests, and one slow answer does not distort it.
+constexpr std::int64_t smoothing_divisor = 8;
 
-// Idle gaps do not tell how fast requests start when there are enough.
-constexpr microseconds longest_interval{1'000'000};
+// Longer intervals count as this much: idle gaps do not show how fast requests
+// start when enough are waiting.
+constexpr microseconds max_start_interval{1'000'000};
 
-constexpr double retry_share = 0.1;
-constexpr double most_retries_in_hand = 10;
+constexpr double retry_tokens_per_request = 0.1;
+constexpr double max_retry_tokens = 10;
 
-microseconds until(base::time_point now, base::time_point later)
+microseconds time_between(base::time_point earlier, base::time_point later)
 {
-    return std::chrono::duration_cast<microseconds>(later - now);
+    return std::chrono::duration_cast<microseconds>(later - earlier);
 }
 
-// Requests of the same workspace that would run before this one.
-std::size_t ahead_in_line(workspace_line const& line, std::uint32_t priority)
+// Number of requests in the same workspace that would run before a new request
+// of this priority.
+std::size_t count_ahead(workspace_queue const& subqueue, std::uint32_t priority)
 {
     std::size_t ahead = 0;
-    for (auto const& [level, requests] : line.lines)
+    for (auto const& [level, requests] : subqueue.by_priority)
     {
         if (level >= priority)
         {
@@ -40,8 +42,9 @@
     return ahead;
 }
 
-// Starts before this one, its own included: while it waits for one turn of its
-// workspace, the others get turns by their weights.
+// Estimated number of starts up to and including this request's own. While its
+// workspace has one start, each other workspace has starts in proportion to its
+// weight, but no more than it has waiting requests.
 double
 starts_before(admission_queue const& queue, waiting_request const& request)
 {
@@ -49,17 +52,17 @@
     auto const own = queue.workspaces.find(request.workspace);
     if (own != queue.workspaces.end())
     {
-        ahead = ahead_in_line(own->second, request.priority);
+        ahead = count_ahead(own->second, request.priority);
     }
-    auto const turns = static_cast<double>(ahead) + 1;
-    auto total = turns;
-    for (auto const& [name, line] : queue.workspaces)
+    auto const own_starts = static_cast<double>(ahead) + 1;
+    auto total = own_starts;
+    for (auto const& [name, subqueue] : queue.workspaces)
     {
         if (name != request.workspace)
         {
             auto const share =
-                turns * line.weight / std::max(request.weight, 1U);
-            total += std::min(static_cast<double>(line.size), share);
+                own_starts * subqueue.weight / std::max(request.weight, 1U);
+            total += std::min(static_cast<double>(subqueue.size), share);
         }
     }
     return total;
@@ -74,8 +77,8 @@
     return microseconds(std::llround(starts * interval));
 }
 
-// The workspace that waits with the most for its weight.
-std::map<std::string, workspace_line>::iterator
+// The workspace with the most waiting requests relative to its weight.
+std::map<std::string, workspace_queue>::iterator
 furthest_over_share(admission_queue& queue)
 {
     return std::ranges::max_element(
@@ -86,32 +89,35 @@
         });
 }
 
-waiting_id push_out(admission_queue& queue, workspace_line& line)
+// Removes the newest request of lowest priority and returns its id.
+waiting_id evict_newest(admission_queue& queue, workspace_queue& subqueue)
 {
-    auto const lowest = std::prev(line.lines.end());
+    auto const lowest = std::prev(subqueue.by_priority.end());
     auto const id = lowest->second.back().id;
     lowest->second.pop_back();
     if (lowest->second.empty())
     {
-        line.lines.erase(lowest);
+        subqueue.by_priority.erase(lowest);
     }
-    --line.size;
+    --subqueue.size;
     --queue.size;
     return id;
 }
 
 void append(admission_queue& queue, waiting_request request)
 {
-    auto& line = queue.workspaces[request.workspace];
-    line.weight = std::max(request.weight, 1U);
-    // A workspace that waited for nothing has saved up no turns meanwhile.
-    line.finish = std::max(line.finish, queue.virtual_time);
-    line.lines[request.priority].push_back(std::move(request));
-    ++line.size;
+    auto& subqueue = queue.workspaces[request.workspace];
+    subqueue.weight = std::max(request.weight, 1U);
+    // A workspace accumulates no credit while it has no waiting requests.
+    subqueue.virtual_finish =
+        std::max(subqueue.virtual_finish, queue.virtual_time);
+    subqueue.by_priority[request.priority].push_back(std::move(request));
+    ++subqueue.size;
     ++queue.size;
 }
 
-// Whether the newcomer may take the place of another in a full queue.
+// Either evicts a waiting request in favour of the new one or refuses the new
+// one.
 arrival arrive_when_full(admission_queue& queue, waiting_request request)
 {
     auto const victim = furthest_over_share(queue);
@@ -124,7 +130,7 @@
     auto const victim_use =
         static_cast<double>(victim->second.size) / victim->second.weight;
     auto const same = victim->first == request.workspace;
-    auto const lowest = std::prev(victim->second.lines.end())->first;
+    auto const lowest = std::prev(victim->second.by_priority.end())->first;
     if (same ? request.priority <= lowest : own_use > victim_use)
     {
         return {
@@ -132,7 +138,7 @@
                  : base::error_kind::queue_full,
             {}};
     }
-    auto const evicted = push_out(queue, victim->second);
+    auto const evicted = evict_newest(queue, victim->second);
     append(queue, std::move(request));
     return {std::nullopt, evicted};
 }
@@ -147,14 +153,16 @@
         return;
     }
     auto const error = measured - state.mean;
-    state.mean += error / smoothing;
-    state.deviation += (std::chrono::abs(error) - state.deviation) / smoothing;
+    state.mean += error / smoothing_divisor;
+    state.deviation +=
+        (std::chrono::abs(error) - state.deviation) / smoothing_divisor;
 }
 
 microseconds expected_service(admission_queue const& queue)
 {
-    // Most measurements lie within twice the mean deviation; with once, one in
-    // seventy answers was late at three times saturation.
+    // Most measurements differ from the mean by at most twice the mean
+    // deviation. With only once the deviation, one in seventy answers was late
+    // at three times saturation.
     return queue.service.mean + 2 * queue.service.deviation;
 }
 
@@ -162,11 +170,11 @@
 arrive(admission_queue& queue, waiting_request request, base::time_point now)
 {
     auto const needed = expected_wait(queue, request) + expected_service(queue);
-    if (until(now, request.deadline) < needed)
+    if (time_between(now, request.deadline) < needed)
     {
         return {base::error_kind::deadline_unreachable, {}};
     }
-    if (queue.size >= queue.most_waiting)
+    if (queue.size >= queue.max_waiting)
     {
         return arrive_when_full(queue, std::move(request));
     }
@@ -176,30 +184,32 @@
 
 void requeue(admission_queue& queue, waiting_request request)
 {
-    auto& line = queue.workspaces[request.workspace];
-    line.weight = std::max(request.weight, 1U);
-    line.finish = std::max(line.finish, queue.virtual_time);
-    line.lines[request.priority].push_front(std::move(request));
-    ++line.size;
+    auto& subqueue = queue.workspaces[request.workspace];
+    subqueue.weight = std::max(request.weight, 1U);
+    subqueue.virtual_finish =
+        std::max(subqueue.virtual_finish, queue.virtual_time);
+    subqueue.by_priority[request.priority].push_front(std::move(request));
+    ++subqueue.size;
     ++queue.size;
 }
 
 std::optional<waiting_request> next(admission_queue const& queue)
 {
-    workspace_line const* chosen = nullptr;
-    for (auto const& [name, line] : queue.workspaces)
+    workspace_queue const* chosen = nullptr;
+    for (auto const& [name, subqueue] : queue.workspaces)
     {
-        if (line.size > 0 &&
-            (chosen == nullptr || line.finish < chosen->finish))
+        if (subqueue.size > 0 &&
+            (chosen == nullptr ||
+             subqueue.virtual_finish < chosen->virtual_finish))
         {
-            chosen = &line;
+            chosen = &subqueue;
         }
     }
     if (chosen == nullptr)
     {
         return std::nullopt;
     }
-    return chosen->lines.begin()->second.front();
+    return chosen->by_priority.begin()->second.front();
 }
 
 void start(
@@ -210,43 +220,44 @@
     auto const waited = withdraw(queue, request);
     if (!waited && queue.size == 0)
     {
-        // Nobody waits for a turn: there is nothing to share out, and what was
-        // used while there was room for all is not held against anybody.
+        // No request is waiting, so there is no contention. Starts made while
+        // there was capacity for all are not charged to any workspace.
         queue.workspaces.clear();
         queue.virtual_time = 0;
         queue.last_start.reset();
         return;
     }
-    auto& line = queue.workspaces[request.workspace];
-    line.weight = std::max(request.weight, 1U);
-    auto const started = std::max(queue.virtual_time, line.finish);
-    line.finish = started + 1.0 / line.weight;
+    auto& subqueue = queue.workspaces[request.workspace];
+    subqueue.weight = std::max(request.weight, 1U);
+    auto const started = std::max(queue.virtual_time, subqueue.virtual_finish);
+    subqueue.virtual_finish = started + 1.0 / subqueue.weight;
     queue.virtual_time = std::max(queue.virtual_time, started);
     if (waited && queue.last_start)
     {
-        auto const interval = until(*queue.last_start, now);
-        note(queue.start_interval, std::min(interval, longest_interval));
+        auto const interval = time_between(*queue.last_start, now);
+        note(queue.start_interval, std::min(interval, max_start_interval));
     }
     queue.last_start = now;
-    // An idle workspace whose turns are used up is like a new one.
+    // An idle workspace whose virtual finish time has passed is equivalent to a
+    // new one.
     std::erase_if(
         queue.workspaces,
         [&queue](auto const& entry)
         {
             return entry.second.size == 0 &&
-                   entry.second.finish <= queue.virtual_time;
+                   entry.second.virtual_finish <= queue.virtual_time;
         });
 }
 
 bool withdraw(admission_queue& queue, waiting_request const& request)
 {
-    auto const line = queue.workspaces.find(request.workspace);
-    if (line == queue.workspaces.end())
+    auto const subqueue = queue.workspaces.find(request.workspace);
+    if (subqueue == queue.workspaces.end())
     {
         return false;
     }
-    auto const level = line->second.lines.find(request.priority);
-    if (level == line->second.lines.end())
+    auto const level = subqueue->second.by_priority.find(request.priority);
+    if (level == subqueue->second.by_priority.end())
     {
         return false;
     }
@@ -259,9 +270,9 @@
     level->second.erase(found);
     if (level->second.empty())
     {
-        line->second.lines.erase(level);
+        subqueue->second.by_priority.erase(level);
     }
-    --line->second.size;
+    --subqueue->second.size;
     --queue.size;
     return true;
 }
@@ -271,15 +282,15 @@
 {
     std::vector<waiting_request> late;
     auto const needed = expected_service(queue);
-    for (auto const& [name, line] : queue.workspaces)
+    for (auto const& [name, subqueue] : queue.workspaces)
     {
-        for (auto const& [level, requests] : line.lines)
+        for (auto const& [level, requests] : subqueue.by_priority)
         {
             std::ranges::copy_if(
                 requests, std::back_inserter(late),
                 [&](waiting_request const& request)
                 {
-                    return until(now, request.deadline) < needed;
+                    return time_between(now, request.deadline) < needed;
                 });
         }
     }
@@ -294,7 +305,8 @@
 
 void earn(retry_budget& budget)
 {
-    budget.tokens = std::min(budget.tokens + retry_share, most_retries_in_hand);
+    budget.tokens =
+        std::min(budget.tokens + retry_tokens_per_request, max_retry_tokens);
 }
 
 bool spend(retry_budget& budget)
--- a/libs/request/src/claim.cpp
+++ b/libs/request/src/claim.cpp
@@ -47,8 +47,9 @@
     return {std::istreambuf_iterator<char>(decoder), {}};
 }
 
-// Joins fields so that no two lists of fields give the same text.
-void append(std::string& text, std::string const& field)
+// Appends a length-prefixed field, so that different lists of fields never give
+// the same text.
+void append_field(std::string& text, std::string const& field)
 {
     text += std::to_string(field.size());
     text += ':';
@@ -60,9 +61,9 @@
 std::string claim_path(std::string const& prefix, claim_name const& name)
 {
     std::string text;
-    append(text, name.workspace);
-    append(text, name.service);
-    append(text, name.key);
+    append_field(text, name.workspace);
+    append_field(text, name.service);
+    append_field(text, name.key);
     auto const digest = base::sha256_hex(text);
     return prefix + digest.substr(0, 2) + "/" + digest.substr(2);
 }
@@ -74,23 +75,24 @@
     std::string const& body)
 {
     std::string text;
-    append(text, method);
-    append(text, path);
-    append(text, content_type);
-    append(text, body);
+    append_field(text, method);
+    append_field(text, path);
+    append_field(text, content_type);
+    append_field(text, body);
     return base::sha256_hex(text);
 }
 
 std::string to_text(claim const& value)
 {
-    auto const kept = value.body_kept && value.body.size() <= max_stored_bytes;
+    auto const body_stored =
+        value.body_kept && value.body.size() <= max_stored_bytes;
     json text{
         {"attempt", base::to_string(value.attempt)},
         {"agent", value.agent},
         {"request", value.request_digest},
         {"status", value.status},
         {"content_type", encode(value.content_type)},
-        {"body_kept", kept}};
+        {"body_kept", body_stored}};
     for (auto const& row : state_names)
     {
         if (row.state == value.state)
@@ -98,7 +100,7 @@
             text["state"] = row.name;
         }
     }
-    if (kept)
+    if (body_stored)
     {
         text["body"] = encode(value.body);
     }
--- a/libs/request/src/gate.cpp
+++ b/libs/request/src/gate.cpp
@@ -12,7 +12,7 @@
     state.limit = std::clamp(state.limit, state.cold_limit, state.warm_limit);
 }
 
-base::result<void> admit(gate& state, gate_query const& ask)
+base::result<void> admit(gate& state, gate_query const& query)
 {
     using base::error_kind;
     if (state.leaving)
@@ -23,9 +23,9 @@
     {
         return base::fail(error_kind::domain_out);
     }
-    if (ask.wanted_digest != ask.serving_digest)
+    if (query.wanted_digest != query.serving_digest)
     {
-        return base::fail(error_kind::version_mismatch, ask.serving_digest);
+        return base::fail(error_kind::version_mismatch, query.serving_digest);
     }
     if (state.running.size() >= state.limit)
     {
@@ -33,7 +33,7 @@
         return base::fail(
             cold ? error_kind::endpoint_cold : error_kind::endpoint_full);
     }
-    state.running.insert(ask.attempt);
+    state.running.insert(query.attempt);
     return boost::outcome_v2::success();
 }
 
@@ -43,9 +43,10 @@
     {
         return;
     }
-    // Failure: two quick answers doubled the limit of an engine that needs
-    // eight to be warm; the third request at once made it fall over, and all
-    // its callers lost their answers. Only the endpoint knows when it is warm.
+    // Only the endpoint knows when it is warm. Without this check, two quick
+    // answers doubled the limit of an engine that needs eight to be warm; it
+    // crashed at the third concurrent request, and all its callers lost their
+    // answers.
     if (state.reports_cold)
     {
         return;
--- a/libs/request/src/placement.cpp
+++ b/libs/request/src/placement.cpp
@@ -9,98 +9,108 @@
 namespace
 {
 
-using options = std::vector<candidate const*>;
+using candidate_list = std::vector<candidate const*>;
 
-bool has_room(candidate const& option)
+bool has_free_slot(candidate const& option)
 {
     return option.running < option.limit;
 }
 
-options open_options(
+// Candidates inside or outside the own failure domain that have a free slot and
+// were not tried yet.
+candidate_list eligible_candidates(
     std::vector<candidate> const& candidates,
-    placement_query const& ask,
+    placement_query const& query,
     bool own_domain)
 {
-    options open;
+    candidate_list eligible;
     for (auto const& option : candidates)
     {
-        auto const own = option.failure_domain == ask.own_domain;
+        auto const own = option.failure_domain == query.own_domain;
         auto const tried =
-            std::ranges::find(ask.tried, option.agent) != ask.tried.end();
-        if (own == own_domain && !tried && has_room(option))
+            std::ranges::find(query.tried, option.agent) != query.tried.end();
+        if (own == own_domain && !tried && has_free_slot(option))
         {
-            open.push_back(&option);
+            eligible.push_back(&option);
         }
     }
-    return open;
+    return eligible;
 }
 
-candidate const* preferred(options const& open, std::uint64_t prefix)
+// Rendezvous hashing: the endpoint with the highest hash for the prefix.
+candidate const*
+prefix_choice(candidate_list const& eligible, std::uint64_t prefix)
 {
     return *std::ranges::max_element(
-        open, {},
+        eligible, {},
         [prefix](auto const* option)
         {
             return base::stable_hash(option->agent, prefix);
         });
 }
 
-// A quarter over the mean load, rounded up.
-bool within_bound(options const& open, candidate const& option)
+// Whether the endpoint's load is below 5/4 of the mean load, rounded up. The
+// mean includes the request to be placed.
+bool within_bound(candidate_list const& eligible, candidate const& option)
 {
     std::uint64_t total = 1;
-    for (auto const* const other : open)
+    for (auto const* const other : eligible)
     {
         total += other->running;
     }
-    auto const bound = (total * 5 + open.size() * 4 - 1) / (open.size() * 4);
+    auto const bound =
+        (total * 5 + eligible.size() * 4 - 1) / (eligible.size() * 4);
     return option.running < bound;
 }
 
-std::uint32_t room(candidate const& option)
+std::uint32_t free_slots(candidate const& option)
 {
     return option.limit - option.running;
 }
 
-candidate const* freer_of_two(options const& open, base::random_state& random)
+candidate const*
+less_loaded_of_two(candidate_list const& eligible, base::random_state& random)
 {
-    auto const* const one = open[base::random_below(random, open.size())];
-    auto const* const two = open[base::random_below(random, open.size())];
-    return room(*one) >= room(*two) ? one : two;
+    auto const* const one =
+        eligible[base::random_below(random, eligible.size())];
+    auto const* const two =
+        eligible[base::random_below(random, eligible.size())];
+    return free_slots(*one) >= free_slots(*two) ? one : two;
 }
 
 } // namespace
 
 candidate const* choose(
     std::vector<candidate> const& candidates,
-    placement_query const& ask,
+    placement_query const& query,
     base::random_state& random)
 {
     for (bool const own_domain : {true, false})
     {
-        auto const open = open_options(candidates, ask, own_domain);
-        if (open.empty())
+        auto const eligible =
+            eligible_candidates(candidates, query, own_domain);
+        if (eligible.empty())
         {
             continue;
         }
-        if (ask.prefer_least_loaded)
+        if (query.prefer_least_loaded)
         {
             return *std::ranges::min_element(
-                open, {},
+                eligible, {},
                 [](auto const* option)
                 {
                     return option->running;
                 });
         }
-        if (ask.prefix != 0)
+        if (query.prefix != 0)
         {
-            auto const* const option = preferred(open, ask.prefix);
-            if (within_bound(open, *option))
+            auto const* const option = prefix_choice(eligible, query.prefix);
+            if (within_bound(eligible, *option))
             {
                 return option;
             }
         }
-        return freer_of_two(open, random);
+        return less_loaded_of_two(eligible, random);
     }
     return nullptr;
 }
--- a/libs/request/src/refusals.cpp
+++ b/libs/request/src/refusals.cpp
@@ -6,12 +6,12 @@
 namespace
 {
 
-void forget_oldest(recent_refusals& state)
+void evict_oldest(recent_refusals& state)
 {
-    auto const& [request, at] = state.order.front();
+    auto const& [request, refusal_time] = state.order.front();
     auto const found = state.refused.find(request);
-    // Refused again meanwhile: the later entry stays.
-    if (found != state.refused.end() && found->second == at)
+    // If the request was refused again since, the later refusal is kept.
+    if (found != state.refused.end() && found->second == refusal_time)
     {
         state.refused.erase(found);
     }
@@ -25,17 +25,17 @@
 {
     state.refused[request] = now;
     state.order.emplace_back(request, now);
-    while (state.order.size() > most_refusals)
+    while (state.order.size() > max_refusals)
     {
-        forget_oldest(state);
+        evict_oldest(state);
     }
 }
 
-std::optional<base::time_point>
-refused_at(recent_refusals const& state, fingerprint request, base::time_point now)
+std::optional<base::time_point> refused_at(
+    recent_refusals const& state, fingerprint request, base::time_point now)
 {
     auto const found = state.refused.find(request);
-    if (found == state.refused.end() || now - found->second > refusal_memory)
+    if (found == state.refused.end() || now - found->second > refusal_retention)
     {
         return std::nullopt;
     }
@@ -45,9 +45,9 @@
 void expire(recent_refusals& state, base::time_point now)
 {
     while (!state.order.empty() &&
-           now - state.order.front().second > refusal_memory)
+           now - state.order.front().second > refusal_retention)
     {
-        forget_oldest(state);
+        evict_oldest(state);
     }
 }
 
--- a/libs/request/src/suspects.cpp
+++ b/libs/request/src/suspects.cpp
@@ -10,12 +10,12 @@
 
 bool is_suspect(crash_record const& record)
 {
-    return record.endpoints.size() >= crashes_to_suspect;
+    return record.endpoints.size() >= min_crashed_endpoints;
 }
 
-void make_room(suspect_list& state)
+void enforce_record_limit(suspect_list& state)
 {
-    if (state.records.size() <= most_crash_records)
+    if (state.records.size() <= max_crash_records)
     {
         return;
     }
@@ -23,7 +23,7 @@
         state.records, {},
         [](auto const& entry)
         {
-            return entry.second.until;
+            return entry.second.expires_at;
         });
     state.records.erase(first);
 }
@@ -39,9 +39,9 @@
     auto& record = state.records[request];
     auto const before = is_suspect(record);
     record.endpoints[endpoint] = now;
-    record.until = now + suspect_length;
+    record.expires_at = now + suspect_duration;
     auto const after = is_suspect(record);
-    make_room(state);
+    enforce_record_limit(state);
     return after && !before;
 }
 
@@ -72,7 +72,7 @@
         state.records,
         [now](auto const& entry)
         {
-            return now >= entry.second.until;
+            return now >= entry.second.expires_at;
         });
 }
 
--- a/libs/request/tests/admission_tests.cpp
+++ b/libs/request/tests/admission_tests.cpp
@@ -17,8 +17,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// A load on one service: who sends how often, with which deadline.
-struct sender
+// A workspace that sends requests at a given rate with a given deadline.
+struct traffic_source
 {
     std::string workspace;
     std::uint32_t weight = 1;
@@ -27,14 +27,14 @@
     milliseconds deadline{1000};
 };
 
-// Endpoints with so many slots in all, and how long a request takes.
-struct endpoints
+// Endpoints with their total number of slots and the range of service times.
+struct simulated_endpoints
 {
     std::size_t slots = 8;
     milliseconds shortest{80};
     milliseconds longest{120};
-    // Every so many-th request takes ten times as long; zero for none.
-    std::uint32_t long_every = 0;
+    // Every slow_every-th request takes ten times as long; zero disables this.
+    std::uint32_t slow_every = 0;
 };
 
 struct outcome
@@ -47,28 +47,30 @@
     milliseconds slowest_refusal{0};
 };
 
-// Runs the queue before fake endpoints in virtual time.
-class bench
+// Runs the queue with simulated endpoints in virtual time.
+class queue_simulation
 {
 public:
-    bench(std::vector<sender> load, endpoints serving)
-        : senders(std::move(load)), capacity(serving)
+    queue_simulation(
+        std::vector<traffic_source> load, simulated_endpoints serving)
+        : sources(std::move(load)), capacity(serving)
     {
     }
 
     outcome run(seconds length)
     {
         auto const end = time_point(length);
-        std::vector<time_point> next_send(this->senders.size());
+        std::vector<time_point> next_send(this->sources.size());
         for (auto now = time_point{}; now < end; now += step)
         {
-            this->finish_work(now);
-            for (std::size_t index = 0; index < this->senders.size(); ++index)
+            this->finish_requests(now);
+            for (std::size_t index = 0; index < this->sources.size(); ++index)
             {
                 while (next_send[index] <= now)
                 {
-                    this->send(this->senders[index], now);
-                    next_send[index] += this->gap(this->senders[index]);
+                    this->send_request(this->sources[index], now);
+                    next_send[index] +=
+                        this->send_interval(this->sources[index]);
                 }
             }
             this->tick(now);
@@ -79,44 +81,44 @@
 private:
     static constexpr milliseconds step{1};
 
-    struct running_work
+    struct running_request
     {
         waiting_request request;
         time_point started;
     };
 
-    base::duration gap(sender const& from)
+    base::duration send_interval(traffic_source const& from)
     {
-        // Between half and one and a half of the mean.
+        // Uniform between 0.5 and 1.5 times the mean.
         auto const mean = 1e6 / from.per_second;
         auto const part = static_cast<double>(base::random_below(random, 1000));
         return microseconds(
             static_cast<std::int64_t>(mean * (0.5 + part / 1000)));
     }
 
-    void send(sender const& from, time_point now)
+    void send_request(traffic_source const& from, time_point now)
     {
         waiting_request const request{
             ++this->last_id, from.workspace, from.weight, from.priority,
             now + from.deadline};
         this->sent[request.id] = now;
-        auto const came = arrive(this->queue, request, now);
-        if (came.refused)
+        auto const arrived = arrive(this->queue, request, now);
+        if (arrived.refused)
         {
             this->refuse(from.workspace, request.id, now);
         }
-        if (came.evicted)
+        if (arrived.evicted)
         {
-            this->refuse("pushed out", *came.evicted, now);
+            this->refuse("pushed out", *arrived.evicted, now);
         }
         this->result.longest_queue =
             std::max(this->result.longest_queue, this->queue.size);
         this->dispatch(now);
     }
 
-    void refuse(std::string const& whom, waiting_id id, time_point now)
+    void refuse(std::string const& counter, waiting_id id, time_point now)
     {
-        ++this->result.refused[whom];
+        ++this->result.refused[counter];
         this->result.slowest_refusal = std::max(
             this->result.slowest_refusal,
             duration_cast<milliseconds>(now - this->sent[id]));
@@ -133,7 +135,7 @@
             }
             start(this->queue, *request, now);
             this->running.emplace(
-                now + this->service_time(), running_work{*request, now});
+                now + this->service_time(), running_request{*request, now});
         }
     }
 
@@ -145,12 +147,12 @@
             milliseconds(base::random_below(
                 random, static_cast<std::uint64_t>(spread.count()) + 1));
         ++this->started;
-        auto const slow = this->capacity.long_every != 0 &&
-                          this->started % this->capacity.long_every == 0;
+        auto const slow = this->capacity.slow_every != 0 &&
+                          this->started % this->capacity.slow_every == 0;
         return slow ? time * 10 : time;
     }
 
-    void finish_work(time_point now)
+    void finish_requests(time_point now)
     {
         while (!this->running.empty() && this->running.begin()->first <= now)
         {
@@ -181,11 +183,11 @@
         this->dispatch(now);
     }
 
-    std::vector<sender> senders;
-    endpoints capacity;
+    std::vector<traffic_source> sources;
+    simulated_endpoints capacity;
     admission_queue queue;
     base::random_state random{5};
-    std::multimap<time_point, running_work> running;
+    std::multimap<time_point, running_request> running;
     std::map<waiting_id, time_point> sent;
     waiting_id last_id = 0;
     std::uint32_t started = 0;
@@ -210,14 +212,14 @@
 
 } // namespace
 
-// Demand is three times what the endpoints bear, for a minute. Without
-// refusals every request waits out its deadline, all are late and the capacity
-// is spent on answers that nobody reads. Peak is 8 slots / 100 ms = 80 a
-// second.
+// The load is three times the endpoints' capacity for a minute. Without
+// refusals every request waits past its deadline, and the capacity is spent on
+// late answers that no caller reads. The capacity is 8 slots / 100 ms = 80
+// requests per second.
 TEST(admission, three_times_saturation_keeps_the_goodput)
 {
     auto const result =
-        bench({{"a", 1, 120}, {"b", 1, 120}}, {}).run(seconds(60));
+        queue_simulation({{"a", 1, 120}, {"b", 1, 120}}, {}).run(seconds(60));
     EXPECT_GE(total(result.in_time), 80U * 60U * 9U / 10U);
     EXPECT_LE(result.late * 100, result.answered);
     EXPECT_LE(result.longest_queue, 120U);
@@ -225,20 +227,23 @@
 
 TEST(admission, long_and_short_work_mixed_keeps_the_goodput)
 {
-    endpoints serving;
-    serving.long_every = 20;
+    simulated_endpoints serving;
+    serving.slow_every = 20;
     auto const result =
-        bench({{"a", 1, 120, 0, seconds(4)}}, serving).run(seconds(60));
-    // Mean 145 ms: 55 a second at the peak.
+        queue_simulation({{"a", 1, 120, 0, seconds(4)}}, serving)
+            .run(seconds(60));
+    // The mean service time is 145 ms: a capacity of 55 requests per second.
     EXPECT_GE(total(result.in_time), 55U * 60U * 9U / 10U);
 }
 
-// One workspace sends a hundred times what the other does. The small one's
-// callers must not notice: its few requests are within its share.
+// One workspace sends a hundred times as many requests as the other. Callers of
+// the small workspace must not be affected, because its few requests are within
+// its share.
 TEST(admission, a_large_workspace_does_not_starve_a_small_one)
 {
     auto const result =
-        bench({{"large", 8, 500}, {"small", 1, 5}}, {}).run(seconds(30));
+        queue_simulation({{"large", 8, 500}, {"small", 1, 5}}, {})
+            .run(seconds(30));
     EXPECT_GE(result.in_time.at("small"), 5U * 30U * 95U / 100U);
     EXPECT_GE(result.in_time.at("large"), 70U * 30U * 9U / 10U);
 }
@@ -246,7 +251,8 @@
 TEST(admission, under_contention_workspaces_share_by_weight)
 {
     auto const result =
-        bench({{"three", 3, 200}, {"one", 1, 200}}, {}).run(seconds(60));
+        queue_simulation({{"three", 3, 200}, {"one", 1, 200}}, {})
+            .run(seconds(60));
     auto const three = static_cast<double>(result.in_time.at("three"));
     auto const one = static_cast<double>(result.in_time.at("one"));
     EXPECT_NEAR(three / one, 3.0, 0.3);
@@ -255,7 +261,7 @@
 TEST(admission, below_saturation_nothing_is_refused)
 {
     auto const result =
-        bench({{"a", 1, 30}, {"b", 1, 30}}, {}).run(seconds(60));
+        queue_simulation({{"a", 1, 30}, {"b", 1, 30}}, {}).run(seconds(60));
     EXPECT_EQ(total(result.refused), 0U);
     EXPECT_EQ(result.late, 0U);
 }
@@ -268,10 +274,10 @@
     EXPECT_EQ(next(queue)->id, 2U);
 }
 
-TEST(admission, a_full_queue_pushes_out_of_the_largest_user)
+TEST(admission, a_full_queue_evicts_from_the_workspace_furthest_over_its_share)
 {
     admission_queue queue;
-    queue.most_waiting = 3;
+    queue.max_waiting = 3;
     arrive(queue, waiting(1, "large", 2), {});
     arrive(queue, waiting(2, "large", 1), {});
     arrive(queue, waiting(3, "large", 2), {});
--- a/libs/request/tests/claim_tests.cpp
+++ b/libs/request/tests/claim_tests.cpp
@@ -5,7 +5,7 @@
 namespace foxtailvale::request
 {
 
-TEST(claim, survives_its_stored_form_with_any_bytes)
+TEST(claim, any_bytes_survive_a_round_trip_through_the_stored_form)
 {
     claim before;
     before.state = claim_state::finished;
@@ -24,9 +24,10 @@
     EXPECT_TRUE(after.value().body_kept);
 }
 
-// An answer is larger than the platform's values. Were it cut to fit, a
-// re-send would be answered with half an invoice; it is left out and said so.
-TEST(claim, an_answer_over_the_limit_is_marked_and_never_cut)
+// An answer is larger than a value on the platform may be. If it were
+// truncated, a retry would get a truncated answer, such as half an invoice. The
+// body must be omitted and marked as omitted.
+TEST(claim, an_answer_over_the_limit_is_omitted_and_never_truncated)
 {
     claim before;
     before.state = claim_state::finished;
@@ -41,7 +42,7 @@
     EXPECT_LT(to_text(before).size(), 1024U * 1024U);
 }
 
-TEST(claim, what_is_not_a_claim_is_refused)
+TEST(claim, malformed_text_is_rejected)
 {
     for (auto const* const text :
          {"", "{}", "[]", R"({"state":"running"})",
@@ -51,7 +52,7 @@
     }
 }
 
-TEST(claim, equal_keys_of_two_workspaces_are_two_calls)
+TEST(claim, equal_keys_of_two_workspaces_name_two_calls)
 {
     auto const one = claim_path("claims/", {"a", "booking", "k"});
     EXPECT_EQ(one, claim_path("claims/", {"a", "booking", "k"}));
--- a/libs/request/tests/placement_tests.cpp
+++ b/libs/request/tests/placement_tests.cpp
@@ -5,7 +5,7 @@
 namespace foxtailvale::request
 {
 
-TEST(placement, own_domain_first_then_others_then_nobody)
+TEST(placement, own_domain_first_then_others_then_none)
 {
     std::vector<candidate> candidates{{"a1", "a", 1, 0}, {"b1", "b", 4, 0}};
     base::random_state random{1};
@@ -16,9 +16,10 @@
     EXPECT_EQ(choose(candidates, retry, random), nullptr);
 }
 
-// One prompt prefix becomes popular. Its cached endpoint would be buried and
-// those callers late; the bound sends the overflow elsewhere.
-TEST(placement, a_popular_prefix_does_not_bury_one_endpoint)
+// One prompt prefix becomes popular. Without the load bound, the endpoint that
+// caches it would be overloaded and its callers would get late answers. The
+// bound sends the excess requests to other endpoints.
+TEST(placement, a_popular_prefix_does_not_overload_one_endpoint)
 {
     std::vector<candidate> candidates;
     for (int index = 0; index < 4; ++index)
@@ -26,10 +27,10 @@
         candidates.push_back({"a" + std::to_string(index), "a", 100, 0});
     }
     base::random_state random{1};
-    placement_query const ask{.own_domain = "a", .prefix = 77};
+    placement_query const query{.own_domain = "a", .prefix = 77};
     for (int count = 0; count < 100; ++count)
     {
-        auto const* const chosen = choose(candidates, ask, random);
+        auto const* const chosen = choose(candidates, query, random);
         candidates[static_cast<std::size_t>(chosen - candidates.data())]
             .running++;
     }
--- a/libs/request/tests/refusals_tests.cpp
+++ b/libs/request/tests/refusals_tests.cpp
@@ -15,47 +15,47 @@
 
 } // namespace
 
-TEST(refusals, one_that_comes_back_is_known)
+TEST(refusals, a_resent_request_is_recognised)
 {
-    recent_refusals book;
-    note_refusal(book, 7, start);
-    EXPECT_EQ(refused_at(book, 7, start + seconds(2)), start);
-    EXPECT_FALSE(refused_at(book, 8, start + seconds(2)));
+    recent_refusals recent;
+    note_refusal(recent, 7, start);
+    EXPECT_EQ(refused_at(recent, 7, start + seconds(2)), start);
+    EXPECT_FALSE(refused_at(recent, 8, start + seconds(2)));
 }
 
-TEST(refusals, one_is_forgotten_when_its_caller_has_given_up)
+TEST(refusals, a_refusal_expires_after_its_retention_time)
 {
-    recent_refusals book;
-    note_refusal(book, 7, start);
-    auto const later = start + refusal_memory + milliseconds(1);
-    EXPECT_FALSE(refused_at(book, 7, later));
-    expire(book, later);
-    EXPECT_TRUE(book.refused.empty());
-    EXPECT_TRUE(book.order.empty());
+    recent_refusals recent;
+    note_refusal(recent, 7, start);
+    auto const later = start + refusal_retention + milliseconds(1);
+    EXPECT_FALSE(refused_at(recent, 7, later));
+    expire(recent, later);
+    EXPECT_TRUE(recent.refused.empty());
+    EXPECT_TRUE(recent.order.empty());
 }
 
-TEST(refusals, the_latest_refusal_counts)
+TEST(refusals, the_latest_refusal_is_reported)
 {
-    recent_refusals book;
-    note_refusal(book, 7, start);
-    note_refusal(book, 7, start + seconds(2));
-    expire(book, start + seconds(4));
-    EXPECT_EQ(refused_at(book, 7, start + seconds(4)), start + seconds(2));
+    recent_refusals recent;
+    note_refusal(recent, 7, start);
+    note_refusal(recent, 7, start + seconds(2));
+    expire(recent, start + seconds(4));
+    EXPECT_EQ(refused_at(recent, 7, start + seconds(4)), start + seconds(2));
 }
 
-// Everything is refused for a while: a failure domain without endpoints under
-// full load. The memory for it stays bounded.
-TEST(refusals, a_flood_forgets_the_oldest_first)
+// A failure domain without endpoints refuses all requests under full load. The
+// number of remembered refusals must stay bounded.
+TEST(refusals, a_flood_evicts_the_oldest_first)
 {
-    recent_refusals book;
-    auto const flood = most_refusals + 100;
-    for (std::size_t number = 0; number < flood; ++number)
+    recent_refusals recent;
+    auto const refusal_count = max_refusals + 100;
+    for (std::size_t number = 0; number < refusal_count; ++number)
     {
-        note_refusal(book, number, start);
+        note_refusal(recent, number, start);
     }
-    EXPECT_EQ(book.refused.size(), most_refusals);
-    EXPECT_FALSE(refused_at(book, 0, start));
-    EXPECT_TRUE(refused_at(book, flood - 1, start));
+    EXPECT_EQ(recent.refused.size(), max_refusals);
+    EXPECT_FALSE(refused_at(recent, 0, start));
+    EXPECT_TRUE(refused_at(recent, refusal_count - 1, start));
 }
 
 } // namespace foxtailvale::request
