--- a/libs/routing/include/routing/configuration.hpp
+++ b/libs/routing/include/routing/configuration.hpp
@@ -9,22 +9,24 @@
 #include <string>
 #include <vector>
 
-// What callers may ask for and where it is answered, as one accepted
-// configuration says. Plain data; decisions on it stand in routes.hpp.
+// Data types of one accepted configuration: which requests callers may send and
+// which services answer them. routes.hpp has the decisions based on them.
 namespace foxtailvale::routing
 {
 
-// What may be repeated. A stream that may not be resumed counts as
-// non_idempotent; a configuration's reader applies that.
+// Whether and how requests on a route may be retried. A stream that cannot be
+// resumed counts as non_idempotent; the code that reads a configuration ensures
+// this.
 enum class retry_safety
 {
     idempotent,
     non_idempotent,
-    // A stream of numbered events that goes on after the last one received.
+    // A stream of numbered events that can be continued after the last event
+    // received.
     resumable,
 };
 
-// One service that a route may send a request to, with its share.
+// A service that a route sends requests to, with its relative share.
 struct weighted_service
 {
     std::string service;
@@ -37,46 +39,49 @@
 {
     std::string name;
     std::string host;
-    // Begins and ends with a slash.
+    // Starts and ends with a slash.
     std::string path_prefix;
     retry_safety repeats = retry_safety::non_idempotent;
     bool streams = false;
-    // Longest time from the request's arrival to its final answer.
+    // Maximum time from the arrival of a request to its final answer.
     std::chrono::milliseconds timeout{0};
-    // Time to the answer, or to a stream's first event, that callers expect.
+    // Expected time to the answer or to the first event of a stream.
     std::chrono::milliseconds goal{0};
-    // Longest pause between two events that callers expect.
+    // Longest expected interval between two events of a stream.
     std::chrono::milliseconds gap_goal{0};
-    // Zero is the most urgent.
+    // Zero is the highest priority.
     std::uint32_t priority = 0;
+    // Maximum number of attempts for one request.
     std::uint32_t most_attempts = 1;
-    // Needs no key.
+    // Requests need no key.
     bool open = false;
     std::vector<weighted_service> services;
-    // Regions that may serve it; empty allows all.
+    // Regions that may serve requests; empty allows all.
     std::set<std::string> regions;
 
     bool operator==(route const&) const = default;
 };
 
-// What an engine's work costs, as the platform publishes it.
+// Performance figures of a model engine, as published by the platform.
 struct engine_costs
 {
+    // Requests that one engine runs concurrently.
     std::uint32_t slots = 1;
-    // One token step, and its growth with each request that is writing.
+    // Duration of one token step, and its increase for each request that is
+    // generating tokens.
     std::chrono::duration<double, std::milli> step{0};
     std::chrono::duration<double, std::milli> step_per_request{0};
-    // Steps that one pass runs, and so the tokens of one event.
+    // Token steps per pass, and therefore tokens per event.
     std::uint32_t steps_per_pass = 1;
-    // Prompt tokens read in a second.
+    // Prompt tokens processed per second.
     double read_per_second = 0;
-    // Tokens of a usual prompt and of a usual answer.
+    // Number of tokens of a typical prompt and of a typical answer.
     double usual_prompt = 0;
     double usual_answer = 0;
     std::uint32_t layers = 0;
     std::uint32_t chunks = 0;
     std::uint32_t chunk_bytes = 0;
-    // Models that the engines of the service may hold.
+    // Models that the engines of the service may serve.
     std::vector<std::string> models;
 
     bool operator==(engine_costs const&) const = default;
@@ -86,14 +91,15 @@
 {
     std::string name;
     std::uint32_t most_connections = 0;
-    // How long an endpoint stays cold after its start.
+    // Time for which an endpoint is cold after its start.
     std::chrono::milliseconds cold_time{0};
-    // Requests a second that a cold endpoint bears; zero sets no limit.
+    // Requests per second that a cold endpoint can handle; zero means no limit.
     double cold_per_second = 0;
     std::optional<engine_costs> engine;
-    // "IP:PORT" of the origin of weights where this service is one.
+    // "IP:PORT" of the weights origin, if this service is one.
     std::string origin;
-    // Rate of the origin's link in bytes a second; zero if not said.
+    // Bandwidth of the origin's link in bytes per second; zero if not
+    // specified.
     double origin_rate = 0;
 
     bool operator==(service const&) const = default;
@@ -102,14 +108,15 @@
 struct workspace
 {
     std::string name;
-    // Goes before the route's priority where it is set.
+    // Overrides the route's priority if set.
     std::optional<std::uint32_t> priority;
+    // Regions that may serve requests of the workspace; empty allows all.
     std::set<std::string> regions;
 
     bool operator==(workspace const&) const = default;
 };
 
-// Limits for what a caller may send; see net::server_limits.
+// Limits on requests and connections of callers; see net::server_limits.
 struct caller_limits
 {
     std::uint32_t head_bytes = 16 * 1024;
@@ -122,24 +129,24 @@
 
 struct configuration
 {
-    // The operator's number, which only grows.
+    // Version number set by the operator; it only increases.
     std::uint64_t version = 0;
-    // By host; each host's routes with the longest prefix first.
+    // Routes by host, longest prefix first.
     std::map<std::string, std::vector<route>> routes;
     std::map<std::string, service> services;
-    // Without any workspace no key is asked for.
+    // Whether any workspace is configured; if not, no request needs a key.
     bool has_workspaces = false;
     std::map<std::string, workspace> workspaces;
-    // Name of the workspace by key.
+    // Workspace name by key.
     std::map<std::string, std::string> keys;
     caller_limits limits;
-    // Parts that could not be read and were left out.
+    // Number of parts that could not be read and were left out.
     std::uint32_t skipped = 0;
 
     bool operator==(configuration const&) const = default;
 };
 
-// Puts each host's routes in the order that find_route relies on.
+// Sorts each host's routes by descending prefix length, as find_route requires.
 void sort_routes(configuration& value);
 
 } // namespace foxtailvale::routing
--- a/libs/routing/include/routing/routes.hpp
+++ b/libs/routing/include/routing/routes.hpp
@@ -11,63 +11,68 @@
 namespace foxtailvale::routing
 {
 
-// Age of the read that last confirmed a view, counted from the moment at which
-// the read began: what was accepted before that moment is known.
+// Age of a view of the configuration: the time since the read that last
+// confirmed the view began. The view contains everything that was accepted
+// before the read began.
 using view_age = std::chrono::milliseconds;
 
-// The route of the host with the longest prefix that begins the path; the
-// host's port and the target's query do not count. Null when there is none.
+// Returns the host's route with the longest prefix of the path, or null if
+// there is none. Ignores the host's port and the target's query. Requires
+// sorted routes, see sort_routes.
 route const* find_route(
     configuration const& current,
     std::string_view host,
     std::string_view target);
 
-// The service that this request goes to. The same token always gives the same
-// service, and over many tokens the shares are those of the weights.
+// Chooses the service for a request by a hash of the token. The same token
+// always gives the same service; over many tokens the services are chosen in
+// proportion to their weights. Requires at least one service.
 std::string const& choose_service(route const& chosen, std::string_view token);
 
-// What a caller brings and how well this process knows the configuration.
-struct admission_ask
+// Input of `permit`: the caller's request and the age of this process's view of
+// the configuration.
+struct permit_query
 {
     std::string_view host;
     std::string_view target;
-    // Key as the caller sent it; empty without one.
+    // Key as sent by the caller; empty if none was sent.
     std::string_view key;
     view_age age{0};
 };
 
-// How old a view may be for each use.
+// Maximum age of a view for each use.
 struct view_limits
 {
-    // Beyond it a key may have been withdrawn: a caller with a key is refused
-    // as "not run". Failure: a machine that is cut off from the platform goes
-    // on serving a key that was taken away. It shows as answers to a former
-    // customer; the limit holds because a read that began within it saw every
-    // withdrawal that is older than it.
+    // Beyond this age a key may have been revoked, so a request with a key is
+    // refused as "not run". Without the limit, a machine that is cut off from
+    // the platform would keep accepting a revoked key, and a former customer
+    // would still get answers. The limit is sufficient because a read that
+    // began within it saw every revocation older than the limit.
     std::chrono::milliseconds max_age_for_keys{3800};
-    // Beyond it "no such route" and "no such key" are not said: the route or
-    // key may have been added meanwhile, and callers do not come back after
+    // Beyond this age "no such route" and "no such key" are not returned: the
+    // route or key may have been added since, and callers do not retry after
     // such an answer.
     std::chrono::milliseconds max_age_for_denials{3800};
 };
 
-// What a request may use.
+// The route, workspace and regions that a request may use.
 struct permission
 {
     route const* chosen = nullptr;
-    // Null on an open route and without workspaces.
+    // Workspace of the caller's key; null on an open route and in a
+    // configuration without workspaces.
     workspace const* owner = nullptr;
     std::uint32_t priority = 0;
-    // Regions that may serve it; empty allows all.
+    // Regions that may serve the request; empty allows all.
     std::set<std::string> regions;
 };
 
-// Finds what the request may use, or why it may use nothing: unknown_route,
-// unknown_key, stale_configuration, no_region. Null means that this process
-// knows no configuration yet.
+// Determines what a request may use. Fails with unknown_route, unknown_key,
+// stale_configuration or no_region; and with no_configuration if `current` is
+// null, which means that this process has not read a configuration yet.
 base::result<permission> permit(
     configuration const* current,
-    admission_ask const& ask,
+    permit_query const& query,
     view_limits const& limits);
 
 } // namespace foxtailvale::routing
--- a/libs/routing/src/routes.cpp
+++ b/libs/routing/src/routes.cpp
@@ -13,6 +13,7 @@
 
 using base::error_kind;
 
+// Host name without the port, in lower case.
 std::string host_name(std::string_view host)
 {
     auto const colon = host.find(':');
@@ -26,8 +27,8 @@
     return name;
 }
 
-// Regions that both allow, where an empty set allows all. Nothing is left when
-// two sets do not meet.
+// Intersection of two sets of allowed regions, where an empty set allows all.
+// Returns nullopt if no region is in both sets.
 std::optional<std::set<std::string>> common_regions(
     std::set<std::string> const& one, std::set<std::string> const& other)
 {
@@ -39,17 +40,19 @@
     {
         return one;
     }
-    std::set<std::string> both;
+    std::set<std::string> common;
     std::ranges::set_intersection(
-        one, other, std::inserter(both, both.begin()));
-    if (both.empty())
+        one, other, std::inserter(common, common.begin()));
+    if (common.empty())
     {
         return std::nullopt;
     }
-    return both;
+    return common;
 }
 
-base::result<permission> permit_owner(
+// Permission for a request on the route, with the key's workspace if the route
+// needs a key.
+base::result<permission> permit_key(
     configuration const& current, route const& chosen, std::string_view key)
 {
     permission allowed{
@@ -138,29 +141,30 @@
 
 base::result<permission> permit(
     configuration const* current,
-    admission_ask const& ask,
+    permit_query const& query,
     view_limits const& limits)
 {
     if (current == nullptr)
     {
         return base::fail(error_kind::no_configuration);
     }
-    auto const* chosen = find_route(*current, ask.host, ask.target);
+    auto const* chosen = find_route(*current, query.host, query.target);
     if (chosen == nullptr)
     {
         return base::fail(
-            ask.age > limits.max_age_for_denials ? error_kind::stale_configuration
-                                         : error_kind::unknown_route);
+            query.age > limits.max_age_for_denials
+                ? error_kind::stale_configuration
+                : error_kind::unknown_route);
     }
-    auto allowed = permit_owner(*current, *chosen, ask.key);
+    auto allowed = permit_key(*current, *chosen, query.key);
     if (allowed.has_error() &&
         allowed.error().kind == error_kind::unknown_key &&
-        ask.age > limits.max_age_for_denials)
+        query.age > limits.max_age_for_denials)
     {
         return base::fail(error_kind::stale_configuration);
     }
     if (allowed.has_value() && allowed.value().owner != nullptr &&
-        ask.age > limits.max_age_for_keys)
+        query.age > limits.max_age_for_keys)
     {
         return base::fail(error_kind::stale_configuration);
     }
--- a/libs/routing/tests/routes_tests.cpp
+++ b/libs/routing/tests/routes_tests.cpp
@@ -39,9 +39,9 @@
 milliseconds const fresh{100};
 milliseconds const old{4000};
 
-error_kind refusal_of(configuration const* current, admission_ask const& ask)
+error_kind refusal_of(configuration const* current, permit_query const& query)
 {
-    auto const permitted = permit(current, ask, {});
+    auto const permitted = permit(current, query, {});
     return permitted.has_error() ? permitted.error().kind
                                  : error_kind::internal;
 }
@@ -84,8 +84,8 @@
     }
 }
 
-// An entry starts while the platform is away. It answers callers "no such
-// route", they do not come back, and the route was there all along.
+// An entry starts while the platform is unreachable. If it answered "no such
+// route", callers would not retry although the route exists.
 TEST(permit, without_a_configuration_nothing_is_denied)
 {
     EXPECT_EQ(
@@ -93,7 +93,7 @@
         error_kind::no_configuration);
 }
 
-TEST(permit, tells_routes_and_keys_apart)
+TEST(permit, unknown_routes_and_unknown_keys_are_reported_apart)
 {
     auto const current = two_routes();
     EXPECT_EQ(
@@ -112,9 +112,9 @@
     EXPECT_EQ(permitted.value().priority, 1U);
 }
 
-// A machine is cut off from the platform and a key is taken away meanwhile.
-// Its former holder is still served there.
-TEST(permit, a_key_is_not_used_on_an_old_view)
+// A key is revoked while a machine is cut off from the platform. Without the
+// age limit the machine would still serve the key's former holder.
+TEST(permit, a_key_is_not_accepted_on_an_old_view)
 {
     auto const current = two_routes();
     EXPECT_EQ(
@@ -122,9 +122,9 @@
         error_kind::stale_configuration);
 }
 
-// A machine that was suspended wakes with an old view. A route added meanwhile
-// is denied for good instead of "come back".
-TEST(permit, an_old_view_denies_nothing_for_good)
+// A suspended machine resumes with an old view. Without the age limit, a route
+// added since would be denied permanently instead of with a retryable error.
+TEST(permit, an_old_view_gives_no_permanent_denial)
 {
     auto const current = two_routes();
     EXPECT_EQ(
@@ -135,16 +135,16 @@
         error_kind::stale_configuration);
 }
 
-// Random views, keys and ages: a caller with a key is served only on a view
-// that is young enough to know of every withdrawal in its time, and nobody is
-// denied for good on an older one.
-TEST(permit, no_course_uses_a_key_or_denies_on_a_view_past_its_limit)
+// With random views, keys and ages: a request with a key is permitted only on a
+// view within the age limit, which contains every revocation older than that
+// limit, and no request is denied permanently on an older view.
+TEST(permit, a_view_past_its_limit_accepts_no_key_and_gives_no_permanent_denial)
 {
     base::random_state random{17};
     view_limits const limits;
     char const* const paths[] = {"/x/", "/none/", "/x/y/z"};
     char const* const keys[] = {"k", "other", ""};
-    for (auto course = 0; course < 20000; ++course)
+    for (auto scenario = 0; scenario < 20000; ++scenario)
     {
         auto current = two_routes();
         auto const is_open = base::random_below(random, 4) == 0;
@@ -161,14 +161,14 @@
         if (permitted.has_value())
         {
             EXPECT_TRUE(is_open || age <= limits.max_age_for_keys)
-                << "seed 17, course " << course;
+                << "seed 17, scenario " << scenario;
             continue;
         }
         auto const kind = permitted.error().kind;
         if (age > limits.max_age_for_denials)
         {
             EXPECT_EQ(base::row_of(kind).status, 503)
-                << "seed 17, course " << course;
+                << "seed 17, scenario " << scenario;
         }
     }
 }
@@ -183,7 +183,7 @@
     EXPECT_EQ(permitted.value().owner, nullptr);
 }
 
-TEST(permit, both_the_routes_and_the_workspaces_regions_bind)
+TEST(permit, regions_must_be_allowed_by_route_and_workspace)
 {
     auto current = two_routes();
     current.routes["a.example"].back().regions = {"r1", "r2"};
