--- a/libs/direct/include/direct/attempt_limit.hpp
+++ b/libs/direct/include/direct/attempt_limit.hpp
@@ -16,7 +16,7 @@
 // State of an attempt on an open connection, as seen by its entry.
 struct attempt_progress
 {
-    routing::repetition repeats = routing::repetition::non_idempotent;
+    routing::retry_safety repeats = routing::retry_safety::non_idempotent;
     bool streams = false;
     // Latency goals of the route: for the answer or a stream's first event, and
     // for the gap between two events.
--- a/libs/direct/src/attempt_limit.cpp
+++ b/libs/direct/src/attempt_limit.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-using routing::repetition;
+using routing::retry_safety;
 using std::chrono::milliseconds;
 
 // Time to the first byte after which a request that may run twice leaves an
@@ -37,7 +37,7 @@
 
 bool is_last_attempt(attempt_progress const& attempt)
 {
-    return attempt.repeats == repetition::non_idempotent ||
+    return attempt.repeats == retry_safety::non_idempotent ||
            attempt.runs + 1 >=
                std::max<std::uint32_t>(attempt.most_attempts, 1);
 }
@@ -85,7 +85,7 @@
     {
         return std::nullopt;
     }
-    if (attempt.repeats == repetition::non_idempotent)
+    if (attempt.repeats == retry_safety::non_idempotent)
     {
         // A plain request cannot be retried by anybody, and its answer may
         // still arrive before the caller's deadline.
--- a/libs/direct/src/retry.cpp
+++ b/libs/direct/src/retry.cpp
@@ -5,7 +5,7 @@
 
 using base::error_kind;
 using base::ran_state;
-using routing::repetition;
+using routing::retry_safety;
 
 base::ran_state judge_run(attempt_facts const& facts)
 {
@@ -38,14 +38,14 @@
     }
     if (query.answer_begun)
     {
-        return query.repeats == repetition::resumable &&
+        return query.repeats == retry_safety::resumable &&
                (query.ran == ran_state::no || query.runs < query.most_attempts);
     }
     if (query.ran == ran_state::no && query.runs == 0)
     {
         return true;
     }
-    if (query.repeats == repetition::non_idempotent)
+    if (query.repeats == retry_safety::non_idempotent)
     {
         return false;
     }
--- a/libs/direct/tests/played_entries.cpp
+++ b/libs/direct/tests/played_entries.cpp
@@ -200,7 +200,7 @@
     auto const& table = state.entries[call.entry].table;
     auto const& known = table.endpoints.at(id_of_engine(*call.engine));
     return attempt_deadline(
-        {.repeats = routing::repetition::resumable,
+        {.repeats = routing::retry_safety::resumable,
          .streams = true,
          .goal = caller_goal,
          .gap_goal = caller_gap_goal,
@@ -296,7 +296,7 @@
         call.ran = ran;
     }
     retry_query const query{
-        .repeats = routing::repetition::resumable,
+        .repeats = routing::retry_safety::resumable,
         .ran = ran,
         .runs = call.runs,
         .most_attempts = most_attempts,
--- a/libs/direct/tests/repeat_tests.cpp
+++ b/libs/direct/tests/repeat_tests.cpp
@@ -10,9 +10,9 @@
 {
 
 using base::ran_state;
-using routing::repetition;
+using routing::retry_safety;
 
-retry_query failed_once(repetition repeats, ran_state ran)
+retry_query failed_once(retry_safety repeats, ran_state ran)
 {
     retry_query query;
     query.repeats = repeats;
@@ -74,16 +74,16 @@
 TEST(may_repeat, what_may_run_once_is_repeated_only_when_it_did_not_run)
 {
     EXPECT_TRUE(is_retry_allowed(
-        failed_once(repetition::non_idempotent, ran_state::no)));
+        failed_once(retry_safety::non_idempotent, ran_state::no)));
     EXPECT_FALSE(is_retry_allowed(
-        failed_once(repetition::non_idempotent, ran_state::unknown)));
+        failed_once(retry_safety::non_idempotent, ran_state::unknown)));
     EXPECT_FALSE(is_retry_allowed(
-        failed_once(repetition::non_idempotent, ran_state::yes)));
+        failed_once(retry_safety::non_idempotent, ran_state::yes)));
 }
 
 TEST(may_repeat, what_may_run_again_is_repeated_up_to_its_attempts)
 {
-    auto query = failed_once(repetition::idempotent, ran_state::unknown);
+    auto query = failed_once(retry_safety::idempotent, ran_state::unknown);
     EXPECT_TRUE(is_retry_allowed(query));
     query.runs = 2;
     EXPECT_FALSE(is_retry_allowed(query));
@@ -91,10 +91,10 @@
 
 TEST(may_repeat, only_a_stream_that_resumes_goes_on_after_its_first_event)
 {
-    auto query = failed_once(repetition::resumable, ran_state::yes);
+    auto query = failed_once(retry_safety::resumable, ran_state::yes);
     query.answer_begun = true;
     EXPECT_TRUE(is_retry_allowed(query));
-    query.repeats = repetition::idempotent;
+    query.repeats = retry_safety::idempotent;
     EXPECT_FALSE(is_retry_allowed(query));
 }
 
--- a/libs/entry_core/src/attempt_flow.cpp
+++ b/libs/entry_core/src/attempt_flow.cpp
@@ -366,9 +366,9 @@
         {.own_domain = state.self.failure_domain,
          .prefix = open.request.prefix,
          .tried = open.tried,
-         .emptiest =
-             open.endpoint_losses > 0 ||
-             request::has_crashed(state.requests.suspects, open.fingerprint)},
+         .prefer_least_loaded = open.endpoint_losses > 0 ||
+                                request::has_crash_record(
+                                    state.requests.suspects, open.fingerprint)},
         state.random);
     if (chosen == nullptr)
     {
--- a/libs/entry_core/src/queue_flow.cpp
+++ b/libs/entry_core/src/queue_flow.cpp
@@ -161,11 +161,11 @@
     }
     auto const admission =
         request::arrive(pool.queue, to_waiting_request(state, open), now);
-    if (admission.pushed_out)
+    if (admission.evicted)
     {
         refuse_waiting(
-            state, *admission.pushed_out, {base::error_kind::queue_full, {}},
-            now, out);
+            state, *admission.evicted, {base::error_kind::queue_full, {}}, now,
+            out);
     }
     if (admission.refused)
     {
@@ -186,7 +186,7 @@
             state, open, {base::error_kind::no_endpoint, {}}, now, out);
         return;
     }
-    request::rejoin(pool.queue, to_waiting_request(state, open));
+    request::requeue(pool.queue, to_waiting_request(state, open));
     serve_pool(state, pool, now, out);
 }
 
--- a/libs/gateway/src/call_end.cpp
+++ b/libs/gateway/src/call_end.cpp
@@ -11,7 +11,7 @@
 
 using base::error_kind;
 using base::ran_state;
-using routing::repetition;
+using routing::retry_safety;
 using std::chrono::milliseconds;
 using clock = std::chrono::steady_clock;
 
@@ -52,7 +52,7 @@
     auto const status = now_running.said.status;
     // An endpoint's own failure may be tried elsewhere where that is allowed.
     if (!is_success(status) && status >= 500 && !this->answer_begun &&
-        this->allowed.chosen->repeats != repetition::non_idempotent &&
+        this->allowed.chosen->repeats != retry_safety::non_idempotent &&
         this->runs + 1 < this->allowed.chosen->most_attempts)
     {
         auto const failed = now_running;
@@ -103,7 +103,7 @@
             now_running.body);
     }
     this->log_answer(status);
-    if (request::has_crashed(this->context->suspects, this->print))
+    if (request::has_crash_record(this->context->suspects, this->print))
     {
         request::note_answered(this->context->suspects, this->print);
         this->context->tell_crash(this->print, now_running.endpoint, true);
--- a/libs/request/src/refusals.cpp
+++ b/libs/request/src/refusals.cpp
@@ -6,12 +6,12 @@
 namespace
 {
 
-void forget_oldest(refusal_book& state)
+void evict_oldest(recent_refusals& state)
 {
-    auto const& [request, at] = state.order.front();
+    auto const& [request, refusal_time] = state.order.front();
     auto const found = state.refused.find(request);
-    // Refused again meanwhile: the later entry stays.
-    if (found != state.refused.end() && found->second == at)
+    // If the request was refused again since, the later refusal is kept.
+    if (found != state.refused.end() && found->second == refusal_time)
     {
         state.refused.erase(found);
     }
@@ -21,33 +21,33 @@
 } // namespace
 
 void note_refusal(
-    refusal_book& state, fingerprint request, base::time_point now)
+    recent_refusals& state, fingerprint request, base::time_point now)
 {
     state.refused[request] = now;
     state.order.emplace_back(request, now);
-    while (state.order.size() > most_refusals)
+    while (state.order.size() > max_refusals)
     {
-        forget_oldest(state);
+        evict_oldest(state);
     }
 }
 
-std::optional<base::time_point>
-refused_at(refusal_book const& state, fingerprint request, base::time_point now)
+std::optional<base::time_point> refused_at(
+    recent_refusals const& state, fingerprint request, base::time_point now)
 {
     auto const found = state.refused.find(request);
-    if (found == state.refused.end() || now - found->second > refusal_memory)
+    if (found == state.refused.end() || now - found->second > refusal_retention)
     {
         return std::nullopt;
     }
     return found->second;
 }
 
-void expire(refusal_book& state, base::time_point now)
+void expire(recent_refusals& state, base::time_point now)
 {
     while (!state.order.empty() &&
-           now - state.order.front().second > refusal_memory)
+           now - state.order.front().second > refusal_retention)
     {
-        forget_oldest(state);
+        evict_oldest(state);
     }
 }
 
