--- a/libs/agent_core/include/agent_core/agent_core.hpp
+++ b/libs/agent_core/include/agent_core/agent_core.hpp
@@ -204,7 +204,7 @@
     weights::plan_set plans;
     std::map<std::string, listener> listeners;
     // Something changed that the listeners should know at once.
-    bool has_news = false;
+    bool heartbeat_due = false;
     bool stopping = false;
     core::drain drain;
     bool endpoint_reachable = false;
--- a/libs/agent_core/src/activation_flow.cpp
+++ b/libs/agent_core/src/activation_flow.cpp
@@ -31,7 +31,7 @@
 {
     if (state.weights.switching.insert(model).second)
     {
-        state.control.has_news = true;
+        state.control.heartbeat_due = true;
     }
 }
 
@@ -39,7 +39,7 @@
 {
     if (state.weights.switching.erase(model) > 0)
     {
-        state.control.has_news = true;
+        state.control.heartbeat_due = true;
     }
 }
 
--- a/libs/agent_core/src/control_flow.cpp
+++ b/libs/agent_core/src/control_flow.cpp
@@ -265,13 +265,13 @@
         out.push_back(core::write_log{
             kernel::event_id::weights_activated,
             {{"serving", state.weights.serving}}});
-        control.has_news = true;
+        control.heartbeat_due = true;
     }
 }
 
 void send_heartbeats(state& state, base::time_point now, actions& out)
 {
-    state.control.has_news = false;
+    state.control.heartbeat_due = false;
     for (auto& [entry, to] : state.control.listeners)
     {
         send_heartbeat(state, entry, to, now, out);
@@ -287,7 +287,7 @@
         {
             return now - entry.second.heard > listener_limit;
         });
-    if (control.has_news)
+    if (control.heartbeat_due)
     {
         send_heartbeats(state, now, out);
         return;
--- a/libs/entry_core/tests/control_failure_tests.cpp
+++ b/libs/entry_core/tests/control_failure_tests.cpp
@@ -374,7 +374,7 @@
     std::string const leaver = "split-a-agent-2";
     rig.agents[leaver].control.stopping = true;
     rig.agents[leaver].requests.gate.leaving = true;
-    rig.agents[leaver].control.has_news = true;
+    rig.agents[leaver].control.heartbeat_due = true;
     rig.run_for(seconds(2));
     for (auto const& [name, entry] : rig.entries)
     {
