--- a/benchmarks/capacity/src/agent_slopes.cpp
+++ b/benchmarks/capacity/src/agent_slopes.cpp
@@ -92,7 +92,7 @@
         run.set_body(std::string(2000, 'p'));
         run.set_time_left_ms(60'000);
         this->take("run", message);
-        agent_core::work_output piece;
+        agent_core::attempt_output piece;
         piece.attempt = core::from_wire(run.attempt());
         piece.status = 200;
         piece.content_type = "text/event-stream";
--- a/fuzz/src/core_targets.cpp
+++ b/fuzz/src/core_targets.cpp
@@ -302,7 +302,7 @@
 
     void work()
     {
-        agent_core::work_output output;
+        agent_core::attempt_output output;
         output.attempt = core::from_wire(this->attempt());
         output.status = 200;
         output.last = this->choose.below(2) == 0;
--- a/libs/agent_core/include/agent_core/events.hpp
+++ b/libs/agent_core/include/agent_core/events.hpp
@@ -15,7 +15,7 @@
 {
 
 // A piece of the endpoint's answer to an attempt, or its end.
-struct work_output
+struct attempt_output
 {
     base::attempt_id attempt;
     std::uint32_t status = 0;
@@ -72,7 +72,7 @@
     core::send_failed,
     core::tick,
     core::stop_requested,
-    work_output,
+    attempt_output,
     endpoint_report,
     order_answered,
     origin_manifest,
--- a/libs/agent_core/src/agent_core.cpp
+++ b/libs/agent_core/src/agent_core.cpp
@@ -106,7 +106,7 @@
         on_stop(this->core, this->now, this->out);
     }
 
-    void operator()(work_output const& event)
+    void operator()(attempt_output const& event)
     {
         on_work_output(this->core, event, this->now, this->out);
     }
--- a/libs/agent_core/src/flows.hpp
+++ b/libs/agent_core/src/flows.hpp
@@ -20,7 +20,7 @@
 void on_cancel(state& state, wire::Cancel const& cancel, actions& out);
 void on_work_output(
     state& state,
-    work_output const& output,
+    attempt_output const& output,
     base::time_point now,
     actions& out);
 void on_output_undelivered(
--- a/libs/agent_core/src/request_flow.cpp
+++ b/libs/agent_core/src/request_flow.cpp
@@ -50,7 +50,7 @@
 constexpr std::uint32_t first_server_fault = 500;
 
 std::optional<base::error>
-failure_of(running_attempt const& attempt, work_output const& output)
+failure_of(running_attempt const& attempt, attempt_output const& output)
 {
     if (output.failure || attempt.model.empty() ||
         output.status < first_server_fault)
@@ -70,7 +70,7 @@
 }
 
 wire::OutcomeReply
-outcome_of(work_output const& output, std::optional<base::error> const& failure)
+outcome_of(attempt_output const& output, std::optional<base::error> const& failure)
 {
     wire::OutcomeReply answer;
     if (failure)
@@ -170,7 +170,7 @@
 }
 
 void on_work_output(
-    state& state, work_output const& output, base::time_point now, actions& out)
+    state& state, attempt_output const& output, base::time_point now, actions& out)
 {
     auto const found = state.requests.running.find(output.attempt);
     if (found == state.requests.running.end())
--- a/libs/agent_core/tests/activation_tests.cpp
+++ b/libs/agent_core/tests/activation_tests.cpp
@@ -128,7 +128,7 @@
     EXPECT_EQ(test.fleet.engines["a100"].loaded["m"], test.before.digest);
     EXPECT_EQ(test.ask("a100", test.before, 2), "version_mismatch");
     test.fleet.give(
-        "a100", work_output{{1, 0}, 200, "text/plain", "x", true, {}});
+        "a100", attempt_output{{1, 0}, 200, "text/plain", "x", true, {}});
     ASSERT_TRUE(test.serves_within(seconds(20), test.after));
 }
 
@@ -212,7 +212,7 @@
     EXPECT_FALSE(test.fleet.engines["a101"].loaded.contains("m"));
     EXPECT_TRUE(test.fleet.core("a101").weights.store.versions.empty());
     test.fleet.give(
-        "a100", work_output{{1, 0}, 200, "text/plain", "x", true, {}});
+        "a100", attempt_output{{1, 0}, 200, "text/plain", "x", true, {}});
     test.fleet.run(seconds(3));
     EXPECT_FALSE(test.fleet.engines["a100"].loaded.contains("m"));
     EXPECT_TRUE(test.fleet.core("a100").weights.store.versions.empty());
--- a/libs/agent_core/tests/request_flow_tests.cpp
+++ b/libs/agent_core/tests/request_flow_tests.cpp
@@ -65,10 +65,10 @@
     auto const started = step(agent, run_message(1, "d1"), {});
     ASSERT_TRUE(std::holds_alternative<start_work>(started.at(0)));
     auto const piece =
-        step(agent, work_output{{1, 0}, 200, "text/plain", "a", false, {}}, {});
+        step(agent, attempt_output{{1, 0}, 200, "text/plain", "a", false, {}}, {});
     EXPECT_EQ(find_output(piece)->sequence(), 0U);
     auto const end =
-        step(agent, work_output{{1, 0}, 200, "text/plain", "b", true, {}}, {});
+        step(agent, attempt_output{{1, 0}, 200, "text/plain", "b", true, {}}, {});
     EXPECT_EQ(find_output(end)->sequence(), 1U);
     EXPECT_TRUE(find_output(end)->last());
     EXPECT_TRUE(agent.requests.gate.running.empty());
@@ -99,7 +99,7 @@
     auto const refused = step(agent, run_message(2, "d1"), {});
     EXPECT_EQ(find_output(refused)->error(), "endpoint_leaving");
     auto const end =
-        step(agent, work_output{{1, 0}, 200, "text/plain", "b", true, {}}, {});
+        step(agent, attempt_output{{1, 0}, 200, "text/plain", "b", true, {}}, {});
     EXPECT_TRUE(find_output(end)->last());
     // Entries that have not heard yet still get their refusal.
     EXPECT_FALSE(has_finished(agent, milliseconds(1999)));
@@ -117,7 +117,7 @@
     run.envelope.mutable_run()->set_fingerprint(77);
     step(agent, run, {});
     base::error const lost{base::error_kind::endpoint_lost, {}};
-    step(agent, work_output{{1, 0}, 0, "", "", true, lost}, {});
+    step(agent, attempt_output{{1, 0}, 0, "", "", true, lost}, {});
     auto const actions = step(
         agent, endpoint_report{true, "i2", true, {{"assistant", "d1"}}}, {});
     auto told = 0;
--- a/libs/agent_core/tests/reservation_flow_tests.cpp
+++ b/libs/agent_core/tests/reservation_flow_tests.cpp
@@ -108,7 +108,7 @@
     ASSERT_NE(token, 0U);
     EXPECT_TRUE(starts_work(step(agent, run_message(1, token), at(start))));
     EXPECT_TRUE(step(agent, run_message(1, token), at(start)).empty());
-    step(agent, work_output{{1, 1}, 200, "", "done", true, {}}, at(start));
+    step(agent, attempt_output{{1, 1}, 200, "", "done", true, {}}, at(start));
     EXPECT_TRUE(step(agent, run_message(1, token), at(start)).empty());
     EXPECT_EQ(outcome_of(agent, 1, start), wire::OutcomeReply::FINISHED);
 }
@@ -157,7 +157,7 @@
     auto agent = make_agent();
     auto const token = reserve(agent, 1, start);
     step(agent, run_message(1, token), at(start));
-    step(agent, work_output{{1, 1}, 200, "", "done", true, {}}, at(start));
+    step(agent, attempt_output{{1, 1}, 200, "", "done", true, {}}, at(start));
     auto const later = minutes(11);
     step(agent, core::tick{}, at(later));
     EXPECT_EQ(outcome_of(agent, 1, later), wire::OutcomeReply::UNKNOWN);
--- a/libs/entry_core/tests/request_world.cpp
+++ b/libs/entry_core/tests/request_world.cpp
@@ -364,7 +364,7 @@
             }
             --this->running_now[agent];
             this->step_agent(
-                agent, agent_core::work_output{
+                agent, agent_core::attempt_output{
                            start.attempt,
                            200,
                            "text/plain",
--- a/libs/node/src/endpoint_client.cpp
+++ b/libs/node/src/endpoint_client.cpp
@@ -141,7 +141,7 @@
         auto const is_stream =
             head.content_type.starts_with("text/event-stream");
         ended = !is_stream || piece.starts_with(stream_end);
-        this->deliver(agent_core::work_output{
+        this->deliver(agent_core::attempt_output{
             attempt, head.status, head.content_type, std::move(piece), ended,
             std::nullopt});
         return !this->is_cancelled(attempt);
@@ -163,7 +163,7 @@
                 ? base::error{base::error_kind::endpoint_lost, "stream was cut"}
                 : answer.error();
         this->deliver(
-            agent_core::work_output{attempt, 0, "", "", true, failure});
+            agent_core::attempt_output{attempt, 0, "", "", true, failure});
     }
     std::lock_guard const lock(this->mutex);
     this->active.erase(attempt);
