--- a/fuzz/src/core_targets.cpp
+++ b/fuzz/src/core_targets.cpp
@@ -360,7 +360,7 @@
              agent_core::step(this->core, event, this->now))
         {
             auto const* const start =
-                std::get_if<agent_core::start_work>(&action);
+                std::get_if<agent_core::start_attempt>(&action);
             if (start != nullptr)
             {
                 // The endpoint never runs one attempt twice at a time.
--- a/libs/agent_core/include/agent_core/events.hpp
+++ b/libs/agent_core/include/agent_core/events.hpp
@@ -79,7 +79,7 @@
     origin_chunk>;
 
 // Run an attempt on the endpoint.
-struct start_work
+struct start_attempt
 {
     base::attempt_id attempt;
     wire::Run run;
@@ -127,7 +127,7 @@
     core::count_retry,
     core::count_metric,
     core::stop_finished,
-    start_work,
+    start_attempt,
     cancel_work,
     fetch_manifest,
     fetch_chunk,
--- a/libs/agent_core/src/request_flow.cpp
+++ b/libs/agent_core/src/request_flow.cpp
@@ -157,7 +157,7 @@
         attempt, running_attempt{
                      peer, target.model(), target.digest(), 0, has_token,
                      run.fingerprint()});
-    out.push_back(start_work{attempt, run});
+    out.push_back(start_attempt{attempt, run});
 }
 
 void on_cancel(state& state, wire::Cancel const& cancel, actions& out)
--- a/libs/agent_core/tests/request_flow_tests.cpp
+++ b/libs/agent_core/tests/request_flow_tests.cpp
@@ -63,7 +63,7 @@
 {
     auto agent = make_agent();
     auto const started = step(agent, run_message(1, "d1"), {});
-    ASSERT_TRUE(std::holds_alternative<start_work>(started.at(0)));
+    ASSERT_TRUE(std::holds_alternative<start_attempt>(started.at(0)));
     auto const piece =
         step(agent, attempt_output{{1, 0}, 200, "text/plain", "a", false, {}}, {});
     EXPECT_EQ(find_output(piece)->sequence(), 0U);
--- a/libs/agent_core/tests/reservation_flow_tests.cpp
+++ b/libs/agent_core/tests/reservation_flow_tests.cpp
@@ -75,7 +75,7 @@
 {
     for (auto const& ordered : actions)
     {
-        if (std::holds_alternative<start_work>(ordered))
+        if (std::holds_alternative<start_attempt>(ordered))
         {
             return true;
         }
--- a/libs/agent_core/tests/weights_flow_tests.cpp
+++ b/libs/agent_core/tests/weights_flow_tests.cpp
@@ -110,18 +110,18 @@
     run.envelope.mutable_run()->mutable_attempt()->set_high(1);
     run.envelope.mutable_run()->mutable_target()->set_model("assistant");
     run.envelope.mutable_run()->mutable_target()->set_digest("d0");
-    EXPECT_EQ(find<start_work>(step(test.agent, run, at(11))), nullptr);
+    EXPECT_EQ(find<start_attempt>(step(test.agent, run, at(11))), nullptr);
     step(test.agent, order_answered{order->order, {}}, at(20));
     endpoint_report report{true, "i", false, {{"assistant", "d0"}}, at(15)};
     step(test.agent, report, at(21));
-    EXPECT_EQ(find<start_work>(step(test.agent, run, at(22))), nullptr);
+    EXPECT_EQ(find<start_attempt>(step(test.agent, run, at(22))), nullptr);
     // Nor is it ordered again before its report says how the order went.
     EXPECT_EQ(
         find<order_engine>(step(test.agent, core::tick{}, at(23))), nullptr);
     // The report that was under way may be older; the one after it is not.
     report.asked = at(25);
     step(test.agent, report, at(26));
-    EXPECT_NE(find<start_work>(step(test.agent, run, at(27))), nullptr);
+    EXPECT_NE(find<start_attempt>(step(test.agent, run, at(27))), nullptr);
 }
 
 } // namespace foxtailvale::agent_core
--- a/libs/entry_core/tests/request_world.cpp
+++ b/libs/entry_core/tests/request_world.cpp
@@ -172,7 +172,7 @@
                 {
                     this->send(name, message);
                 },
-                [&](agent_core::start_work const& start)
+                [&](agent_core::start_attempt const& start)
                 {
                     this->run_work(name, start);
                 },
@@ -345,7 +345,7 @@
 }
 
 void request_world::run_work(
-    std::string const& agent, agent_core::start_work const& start)
+    std::string const& agent, agent_core::start_attempt const& start)
 {
     ++this->run_counts[start.run.request_id()];
     auto const limit = this->agents.at(agent).requests.gate.limit;
--- a/libs/entry_core/tests/request_world.hpp
+++ b/libs/entry_core/tests/request_world.hpp
@@ -118,7 +118,7 @@
     void call_store(std::string const& name, core::platform_call const& call);
     core::platform_answer apply(core::platform_call const& call);
     void
-    run_work(std::string const& agent, agent_core::start_work const& start);
+    run_work(std::string const& agent, agent_core::start_attempt const& start);
     void note_reply(entry_core::reply const& reply, std::string const& entry);
     void
     note_refusal(entry_core::refuse const& refusal, std::string const& entry);
--- a/libs/node/include/node/endpoint_client.hpp
+++ b/libs/node/include/node/endpoint_client.hpp
@@ -37,7 +37,7 @@
     endpoint_client(
         event_loop& loop, endpoint_addresses addresses, handler receive);
 
-    void start(agent_core::start_work work);
+    void start(agent_core::start_attempt work);
     void cancel(base::attempt_id attempt);
     void order(agent_core::order_engine order);
     void fetch(agent_core::fetch_manifest fetch);
@@ -49,7 +49,7 @@
 private:
     void deliver(agent_core::event event);
     bool is_cancelled(base::attempt_id attempt);
-    void run_work(agent_core::start_work const& work);
+    void run_work(agent_core::start_attempt const& work);
 
     event_loop& loop;
     endpoint_addresses addresses;
--- a/libs/node/src/agent_node.cpp
+++ b/libs/node/src/agent_node.cpp
@@ -110,7 +110,7 @@
         this->loop.stop();
     }
 
-    void operator()(agent_core::start_work& action)
+    void operator()(agent_core::start_attempt& action)
     {
         this->endpoint->start(std::move(action));
     }
--- a/libs/node/src/endpoint_client.cpp
+++ b/libs/node/src/endpoint_client.cpp
@@ -107,7 +107,7 @@
     return this->cancelled.contains(attempt);
 }
 
-void endpoint_client::start(agent_core::start_work work)
+void endpoint_client::start(agent_core::start_attempt work)
 {
     {
         std::lock_guard const lock(this->mutex);
@@ -132,7 +132,7 @@
     }
 }
 
-void endpoint_client::run_work(agent_core::start_work const& work)
+void endpoint_client::run_work(agent_core::start_attempt const& work)
 {
     auto const attempt = work.attempt;
     auto ended = false;
