--- a/libs/agent_core/include/agent_core/events.hpp
+++ b/libs/agent_core/include/agent_core/events.hpp
@@ -86,7 +86,7 @@
 };
 
 // The caller no longer wants the answer.
-struct cancel_work
+struct stop_attempt
 {
     base::attempt_id attempt;
 };
@@ -128,7 +128,7 @@
     core::count_metric,
     core::stop_finished,
     start_attempt,
-    cancel_work,
+    stop_attempt,
     fetch_manifest,
     fetch_chunk,
     order_engine>;
--- a/libs/agent_core/src/request_flow.cpp
+++ b/libs/agent_core/src/request_flow.cpp
@@ -165,7 +165,7 @@
     auto const attempt = core::from_wire(cancel.attempt());
     if (state.requests.running.contains(attempt))
     {
-        out.push_back(cancel_work{attempt});
+        out.push_back(stop_attempt{attempt});
     }
 }
 
@@ -220,7 +220,7 @@
     auto const found = state.requests.running.find(attempt);
     if (found != state.requests.running.end() && !found->second.model.empty())
     {
-        out.push_back(cancel_work{attempt});
+        out.push_back(stop_attempt{attempt});
     }
 }
 
--- a/libs/node/src/agent_node.cpp
+++ b/libs/node/src/agent_node.cpp
@@ -115,7 +115,7 @@
         this->endpoint->start(std::move(action));
     }
 
-    void operator()(agent_core::cancel_work& action)
+    void operator()(agent_core::stop_attempt& action)
     {
         this->endpoint->cancel(action.attempt);
     }
