--- a/libs/core/include/core/drain.hpp
+++ b/libs/core/include/core/drain.hpp
@@ -9,36 +9,39 @@
 namespace foxtailvale::core
 {
 
-// How long the parts of an orderly stop last.
+// Durations of the phases of an orderly stop.
 struct drain_limits
 {
-    // For how long new work may still come from those who have not yet heard
-    // of the stop: the balancer polls, entries get a heartbeat.
+    // How long new work is still accepted after the stop was requested: the
+    // balancer polls readiness and the entries get heartbeats, so both notice
+    // the stop late.
     std::chrono::milliseconds grace{2000};
-    // For how long nothing must have run before the process ends, so that the
-    // last answers have left it.
-    std::chrono::milliseconds quiet{100};
+    // How long the process must have been idle before it ends, so that the last
+    // answers have been sent.
+    std::chrono::milliseconds idle_period{100};
 };
 
-// An orderly stop on its way; empty while the process runs on.
+// State of an orderly stop; `requested` is empty while the process runs
+// normally.
 struct drain
 {
-    std::optional<base::time_point> asked;
+    std::optional<base::time_point> requested;
     base::time_point last_work;
-    // New work is refused; set when the grace is over.
+    // True once the grace period is over: new work is refused.
     bool refuses = false;
 };
 
-// Begins the stop; a second one does not make the first longer.
+// Starts the drain. Further calls do not extend it.
 void begin_drain(drain& state, base::time_point now);
 
-// Notes whether work is under way and says whether the process may end.
+// Records whether work is in progress and returns true when the process may
+// end.
 //
-// Made for a restart of all entries one after another under live load. Ended
-// at once, a process would cut off what it runs; refusing at once, it would
-// turn away every caller that the balancer sends until its next look at the
-// readiness page. So it serves on during the grace, refuses after it, and ends
-// when nothing has run for the quiet time.
+// This supports a rolling restart of all entries under live load. A process
+// that ended at once would cut off the work it runs; one that refused new work
+// at once would turn away every caller that the balancer sends before its next
+// readiness poll. Therefore the process accepts work during the grace period,
+// refuses it afterwards, and ends once it has been idle for the idle period.
 bool advance_drain(
     drain& state, drain_limits const& limits, bool busy, base::time_point now);
 
--- a/libs/core/include/core/messages.hpp
+++ b/libs/core/include/core/messages.hpp
@@ -9,42 +9,42 @@
 
 #include <string>
 
-// Events and actions that the entry's and the agent's cores have in common.
+// Events and actions shared by the state machines of the entry and the agent.
 namespace foxtailvale::core
 {
 
-// A frame came from a peer.
+// A frame was received from a peer.
 struct message_received
 {
     std::string peer;
     wire::Envelope envelope;
 };
 
-// A frame could not be handed to the transport: the peer never saw it.
+// A frame could not be handed to the transport; the peer never received it.
 struct send_failed
 {
     std::string peer;
     wire::Envelope envelope;
 };
 
-// Time passed; comes every few tens of milliseconds.
+// Periodic timer event, sent every few tens of milliseconds.
 struct tick
 {
 };
 
-// The process was asked to stop in an orderly way.
+// An orderly stop of the process was requested.
 struct stop_requested
 {
 };
 
-// Send a frame; the adapter fills in sender and incarnations.
+// Sends a frame; the I/O adapter fills in the sender and the incarnations.
 struct send_message
 {
     std::string peer;
     wire::Envelope envelope;
 };
 
-// Keep a connection to the peer at this address ("IP:PORT").
+// Opens and maintains a connection to the peer at this address ("IP:PORT").
 struct connect_peer
 {
     std::string peer;
@@ -56,34 +56,34 @@
     std::string peer;
 };
 
-// Write a numbered log event.
+// Writes a log event with its numeric id.
 struct write_log
 {
     kernel::event_id id;
     nlohmann::json fields;
 };
 
-// Log an error and count it under its reason.
+// Logs an error and counts it under its reason.
 struct report_error
 {
     base::error error;
     nlohmann::json fields;
 };
 
-// Count a retry under the reason of the attempt that failed.
+// Counts a retry under the reason for which the previous attempt failed.
 struct count_retry
 {
     base::error_kind reason;
 };
 
-// Count something else; the name is a full metric name.
+// Adds to a counter; `name` is the full metric name.
 struct count_metric
 {
     std::string name;
     double amount = 1;
 };
 
-// All work is done after a stop was asked for; the process may end.
+// The work in progress at an orderly stop has ended; the process may exit.
 struct stop_finished
 {
 };
--- a/libs/core/include/core/platform.hpp
+++ b/libs/core/include/core/platform.hpp
@@ -7,28 +7,28 @@
 #include <cstdint>
 #include <string>
 
-// Calls to the platform's object API, as a core asks for them.
+// Calls to the platform's object API, as the state machines request them.
 namespace foxtailvale::core
 {
 
 enum class platform_method
 {
     get,
-    // Write if the object's version is still the expected one; expected zero
-    // means that the object must not exist yet.
+    // Conditional write: succeeds only if the object's current version equals
+    // `expected`. Zero means that the object must not exist yet.
     put,
-    // Answer when the object's version is above the expected one, or with
-    // not_found after the wait.
+    // Long poll: answers once the object's version exceeds `expected`, or with
+    // not_found when `wait` has passed.
     watch,
-    // All objects whose name begins with the path, as one JSON object
+    // Lists all objects whose path begins with `path`, as one JSON object
     // {"objects": [{"path", "version", "value"}]}.
     list,
-    // The platform's list of VMs; not_found when its version is still the
-    // expected one.
+    // Gets the platform's list of VMs; answers not_found while its version
+    // still equals `expected`.
     vms,
 };
 
-// One call; the answer carries the same id.
+// One call; its answer carries the same id.
 struct platform_call
 {
     std::uint64_t id = 0;
@@ -36,24 +36,25 @@
     std::string path;
     std::uint64_t expected = 0;
     std::string value;
-    // Longest time to wait for an answer; a watch's answer may take this long.
+    // Maximum time to wait for the answer; a watch may use all of it.
     std::chrono::milliseconds wait{1000};
 };
 
-// The answer, or that there was none. A put without an answer may have taken
-// effect all the same: read back before believing either.
+// The answer to a call, or the failure to get one. A put without an answer may
+// have taken effect: the caller must read the object back before it assumes
+// either outcome.
 struct platform_answer
 {
     std::uint64_t id = 0;
-    // Unset when the call went well; platform_conflict, not_found,
-    // platform_refused or platform_unavailable.
+    // True when the call succeeded. Otherwise `error` is platform_conflict,
+    // not_found, platform_refused or platform_unavailable.
     bool ok = false;
     base::error_kind error = base::error_kind::platform_unavailable;
     std::uint64_t version = 0;
     std::string value;
 };
 
-// Paths of the system's own objects.
+// Paths of the objects that this system stores on the platform.
 inline constexpr char const* release_path = "release/current";
 inline constexpr char const* plans_prefix = "plans/";
 inline constexpr char const* leases_prefix = "leases/";
--- a/libs/core/src/drain.cpp
+++ b/libs/core/src/drain.cpp
@@ -5,18 +5,18 @@
 
 void begin_drain(drain& state, base::time_point now)
 {
-    if (state.asked)
+    if (state.requested)
     {
         return;
     }
-    state.asked = now;
+    state.requested = now;
     state.last_work = now;
 }
 
 bool advance_drain(
     drain& state, drain_limits const& limits, bool busy, base::time_point now)
 {
-    if (!state.asked)
+    if (!state.requested)
     {
         return false;
     }
@@ -24,8 +24,8 @@
     {
         state.last_work = now;
     }
-    state.refuses = now - *state.asked >= limits.grace;
-    return state.refuses && now - state.last_work >= limits.quiet;
+    state.refuses = now - *state.requested >= limits.grace;
+    return state.refuses && now - state.last_work >= limits.idle_period;
 }
 
 } // namespace foxtailvale::core
--- a/libs/core/tests/drain_tests.cpp
+++ b/libs/core/tests/drain_tests.cpp
@@ -18,16 +18,16 @@
 
 } // namespace
 
-TEST(drain, a_process_that_was_not_asked_goes_on)
+TEST(drain, a_process_without_a_stop_request_keeps_running)
 {
     drain state;
     EXPECT_FALSE(advance_drain(state, limits, false, at(60'000)));
     EXPECT_FALSE(state.refuses);
 }
 
-// The balancer sends callers for a second or two after readiness went off.
-// Refused or cut, they would see an error because of a planned restart.
-TEST(drain, work_is_welcome_while_the_balancer_lags)
+// The balancer keeps sending callers for a second or two after readiness went
+// off. Refusing or cutting them off would turn a planned restart into errors.
+TEST(drain, work_is_accepted_while_the_balancer_lags)
 {
     drain state;
     begin_drain(state, at(0));
@@ -37,9 +37,10 @@
     EXPECT_TRUE(state.refuses);
 }
 
-// A stream outlasts the grace. The process must refuse new work by then and
-// must not end before the stream has, nor with its last piece still unsent.
-TEST(drain, running_work_is_waited_for)
+// A stream runs longer than the grace period. The process must refuse new work
+// by then, but must not end before the stream does, nor while its last piece is
+// unsent.
+TEST(drain, the_process_waits_for_running_work)
 {
     drain state;
     begin_drain(state, at(0));
