--- a/libs/agent_core/include/agent_core/agent_core.hpp
+++ b/libs/agent_core/include/agent_core/agent_core.hpp
@@ -19,31 +19,31 @@
 #include <string>
 #include <vector>
 
-// The agent's decisions as one state machine without sockets, clocks or
-// threads: the gate before its endpoint, the transfer of weights, and the
-// orders to its engine.
+// The agent's state machine, free of sockets, clocks and threads: admission
+// control in front of its endpoint, the transfer of weights, and the load and
+// unload orders to its engine.
 namespace foxtailvale::agent_core
 {
 
-// Who this agent is; does not change while it runs.
+// Identity of this agent; constant while it runs.
 struct identity
 {
     std::string name;
     std::string failure_domain;
     std::string region;
-    // Name of the plain service behind it; empty for an engine.
+    // Name of the plain service that this agent fronts; empty for an engine.
     std::string service;
     core::drain_limits drain_limits;
 };
 
-// An attempt that the endpoint runs.
+// An attempt that is running on the endpoint.
 struct running_attempt
 {
     std::string entry;
     std::string model;
     std::string digest;
     std::uint32_t next_sequence = 0;
-    // Set when it came with a token: its outcome is remembered.
+    // Set for a run that came with a reservation token: its outcome is stored.
     bool remembered = false;
     std::uint64_t fingerprint = 0;
 };
@@ -55,7 +55,7 @@
     base::time_point time;
 };
 
-// A slot that waits for the body of a non-idempotent request.
+// A slot reserved for a non-idempotent request until its body arrives.
 struct reservation
 {
     std::string entry;
@@ -63,71 +63,74 @@
     base::time_point expires;
 };
 
-// What became of a non-idempotent attempt.
+// Result of a non-idempotent attempt.
 struct outcome
 {
     wire::OutcomeReply answer;
     base::time_point ended;
 };
 
-// Requests: the gate and what runs behind it.
+// Request handling: admission control (the gate) and the running attempts.
 struct request_state
 {
     request::gate gate;
     std::map<base::attempt_id, running_attempt> running;
     std::map<base::attempt_id, reservation> reservations;
     std::map<base::attempt_id, outcome> outcomes;
-    // Oldest first, for forgetting.
+    // Attempts with a stored outcome, oldest first; the order of eviction.
     std::deque<base::attempt_id> outcome_order;
     std::size_t outcome_bytes = 0;
-    std::deque<lost_attempt> losses;
+    std::deque<lost_attempt> lost_attempts;
 };
 
-// A chunk that was asked for and has not come.
+// A chunk that was requested and has not arrived yet.
 struct pending_chunk
 {
-    // Empty for the origin.
+    // Name of the agent that was asked; empty for the origin.
     std::string agent;
-    base::time_point asked;
-    // Since when the source is known to hold it.
+    base::time_point requested;
+    // When the source was first known to hold the chunk; unset before that.
     std::optional<base::time_point> held_since;
 };
 
-// How often the origin sent other bytes than a chunk's, and since when.
+// Number of fetches of one chunk for which the origin returned bytes that do
+// not match the manifest, and the time of the first.
 struct corrupt_record
 {
-    std::uint32_t draws = 0;
+    std::uint32_t fetches = 0;
     base::time_point first;
 };
 
-// One version on its way to this agent.
+// Transfer of one version to this agent.
 struct transfer
 {
     std::string digest;
     base::time_point started;
-    // When the manifest came and when it was last asked for.
-    base::time_point described;
-    base::time_point manifest_asked;
-    bool manifest_drawn = false;
-    // When a chunk came last, from anywhere.
+    // When the manifest arrived and when it was last requested.
+    base::time_point manifest_received;
+    base::time_point manifest_requested;
+    bool manifest_fetch_pending = false;
+    // When the last chunk arrived, from any source.
     base::time_point last_chunk;
     std::map<std::uint32_t, pending_chunk> pending;
-    // Computed from the plans in force, by chunk.
+    // Possible sources by chunk, computed from the current plans.
     std::map<std::uint32_t, std::optional<weights::chunk_sources>> sources;
-    // Sources that will not give a chunk, and until when.
+    // Sources that declined a chunk, by chunk, each with the end of the pause
+    // before it may be asked again.
     std::map<std::uint32_t, std::map<std::string, base::time_point>> declined;
-    // Chunks that other agents said they hold, by agent.
+    // Chunks that other agents reported to hold, by agent.
     std::map<std::string, std::vector<bool>> holders;
     // By chunk.
-    std::map<std::uint32_t, corrupt_record> corrupt_draws;
+    std::map<std::uint32_t, corrupt_record> corrupt_fetches;
     std::uint32_t corrupt_manifests = 0;
-    // Agents that refuse the version because the origin's bytes are wrong.
+    // Agents that refuse the version because the origin's bytes do not match
+    // its digest.
     std::set<std::string> refusals;
     bool refused = false;
 };
 
-// How chunks are distributed; all but the forest are baselines to measure it
-// against.
+// Strategy for distributing chunks. Swarm and origin are baselines that the
+// forest is measured against.
 enum class distribution
 {
     forest,
@@ -135,24 +138,28 @@
     origin,
 };
 
-// An order that is under way.
+// An order to the engine whose effect is not known yet.
 struct pending_order
 {
     order_engine order;
     base::time_point sent;
     bool answered = false;
-    // Reports to come before the engine's state is taken as known: one may
-    // have been read before the order took effect.
+    // Number of endpoint reports to wait for before the engine's state counts
+    // as known: the next report may have been read before the order took
+    // effect.
     int reports_awaited = 0;
 };
 
-// Whose move a move to another version waits for.
+// Progress of waiting for other agents before this agent's engine switches to
+// another version.
 struct activation_wait
 {
-    base::time_point asked;
-    // When the agent waited for was first asked, or was heard last.
-    base::time_point heard;
-    // Agents further up that were passed over because they were silent.
+    base::time_point last_queried;
+    // When an agent that is waited for last answered; initially when the wait
+    // began, and set anew when an agent is skipped.
+    base::time_point last_heard;
+    // Number of preceding agents that were skipped because they did not
+    // respond.
     std::size_t skipped = 0;
     bool predecessor_done = false;
 };
@@ -161,41 +168,45 @@
 {
     weights::chunk_store store;
     distribution how = distribution::forest;
-    weights::source_table book;
+    weights::source_table peer_table;
     weights::origin_pace origin;
     weights::upload_queue uploads;
-    base::time_point last_progress_note;
-    // Agents that asked for a manifest before it was there, by digest.
+    base::time_point last_progress_sent;
+    // Agents that requested a manifest before this agent had it, by digest.
     std::map<std::string, std::set<std::string>> manifest_waiters;
     std::map<std::string, transfer> transfers;
-    // Digest that serves, by model; as the engine reported it.
+    // Digest that the engine serves, by model, as reported by the engine.
     std::map<std::string, std::string> serving;
     std::optional<pending_order> order;
     base::time_point order_not_before;
-    // When the first plan came.
+    // When the first plan arrived.
     std::optional<base::time_point> first_plan;
-    // Models whose gate is closed: they are drained or their engine is ordered.
+    // Models that accept no new requests because they are being drained or the
+    // engine has an order for them.
     std::set<std::string> switching;
     // By digest.
-    std::map<std::string, activation_wait> waits;
-    // Agents that moved before this one, which was not ready, by digest.
-    std::map<std::string, std::set<std::string>> passed;
+    std::map<std::string, activation_wait> activation_waits;
+    // Agents that were allowed to switch before this one because it was not
+    // ready, by digest.
+    std::map<std::string, std::set<std::string>> overtaken_by;
     std::uint64_t last_order = 0;
-    // Peers that we have connected to for chunks.
+    // Peers that this agent has opened connections to for chunks.
     std::set<std::string> connected;
 };
 
-// An entry that wants this agent's heartbeats.
+// An entry that subscribed to this agent's heartbeats.
 struct listener
 {
-    base::time_point heard;
-    // A new one knows nothing of what the one before was told.
+    base::time_point last_heard;
+    // Incarnation of the entry process. A new process has none of the state
+    // sent to its predecessor, so it needs a full heartbeat.
     std::uint64_t incarnation = 0;
     std::chrono::milliseconds interval{1000};
-    base::time_point last_beat;
-    // Hash of what the last whole heartbeat said, and brief ones since then.
+    base::time_point last_heartbeat;
+    // Hash of the detail in the last full heartbeat, and the number of brief
+    // heartbeats sent since.
     std::uint64_t detail_hash = 0;
-    std::uint32_t brief_beats = 0;
+    std::uint32_t brief_heartbeats = 0;
 };
 
 struct control_state
@@ -203,7 +214,7 @@
     release::configuration configuration;
     weights::plan_set plans;
     std::map<std::string, listener> listeners;
-    // Something changed that the listeners should know at once.
+    // Set when a change must be sent to the listeners with the next tick.
     bool heartbeat_due = false;
     bool stopping = false;
     core::drain drain;
@@ -220,7 +231,7 @@
     control_state control;
 };
 
-// Takes one event and returns what to do, in order.
+// Processes one event and returns the actions to perform, in order.
 std::vector<action>
 step(state& state, event const& input, base::time_point now);
 
--- a/libs/agent_core/include/agent_core/events.hpp
+++ b/libs/agent_core/include/agent_core/events.hpp
@@ -14,7 +14,7 @@
 namespace foxtailvale::agent_core
 {
 
-// A piece of the endpoint's answer to an attempt, or its end.
+// A piece of the endpoint's answer to an attempt; the last one ends it.
 struct attempt_output
 {
     base::attempt_id attempt;
@@ -22,14 +22,14 @@
     std::string content_type;
     std::string body;
     bool last = false;
-    // Set when the endpoint broke off.
+    // Set when the endpoint broke off the attempt.
     std::optional<base::error> failure;
 };
 
-// What the endpoint said of itself when asked.
+// State of the endpoint as returned by a status poll.
 struct endpoint_report
 {
-    // False when it did not answer.
+    // False when the endpoint did not answer the poll.
     bool reachable = false;
     std::string instance;
     bool cold = false;
@@ -39,18 +39,18 @@
         std::string digest;
     };
     std::vector<loaded_model> loaded;
-    // When it was asked; what changed since is not in it.
+    // When the poll was sent; later changes are not included.
     base::time_point asked;
 };
 
-// An order to the engine was answered, or not.
+// The engine answered an order, or the order failed.
 struct order_answered
 {
     std::uint64_t order = 0;
     std::optional<base::error> failure;
 };
 
-// The origin answered for a manifest.
+// Result of fetching a manifest from the origin.
 struct origin_manifest
 {
     std::string digest;
@@ -58,7 +58,7 @@
     std::optional<base::error> failure;
 };
 
-// The origin answered for a chunk.
+// Result of fetching a chunk from the origin.
 struct origin_chunk
 {
     std::string digest;
@@ -78,14 +78,14 @@
     origin_manifest,
     origin_chunk>;
 
-// Run an attempt on the endpoint.
+// Runs an attempt on the endpoint.
 struct start_attempt
 {
     base::attempt_id attempt;
     wire::Run run;
 };
 
-// The caller no longer wants the answer.
+// Cancels a running attempt because its answer is no longer needed.
 struct stop_attempt
 {
     base::attempt_id attempt;
@@ -108,7 +108,8 @@
     unload,
 };
 
-// Order the engine; its answer carries the same number.
+// Orders the engine to load or unload a version; the answer carries the same
+// order number.
 struct order_engine
 {
     std::uint64_t order = 0;
--- a/libs/agent_core/src/activation_flow.cpp
+++ b/libs/agent_core/src/activation_flow.cpp
@@ -12,11 +12,11 @@
 
 constexpr milliseconds order_timeout{15'000};
 
-// After a refused order: the engine knows a newer fencing number or is busy,
-// and a newer plan is on its way.
+// Pause after a refused order: the engine has seen a newer fencing number, so a
+// newer plan is on its way, or it is busy.
 constexpr milliseconds refusal_pause{1000};
 
-// A new agent's first plan may be an old one from an entry that lags; entries
+// A new agent's first plan may be an old one from an entry that lags. Entries
 // compare plans once a second.
 constexpr milliseconds plan_settle_time{2500};
 
@@ -26,7 +26,8 @@
     return found == state.control.plans.end() ? 0 : found->second.version;
 }
 
-// Entries hear at once that the model's gate closed or opened.
+// Closes or opens the gate of a model and schedules a heartbeat, so that the
+// entries learn of it at once.
 void close_gate(state& state, std::string const& model)
 {
     if (state.weights.switching.insert(model).second)
@@ -74,8 +75,8 @@
         });
 }
 
-// Failure: the agent was replaced and its first plan is an old one. An engine
-// that ignores fencing numbers would be ordered back to old weights.
+// Guards against a replaced agent whose first plan is outdated: an engine that
+// ignores fencing numbers would be ordered back to old weights.
 bool is_settled(state const& state, base::time_point now)
 {
     return state.weights.serving.empty() ||
@@ -83,10 +84,11 @@
             now - *state.weights.first_plan >= plan_settle_time);
 }
 
-// Brings one model to the version that the plan wants; true when an order went
-// out. A model that serves is drained first: its gate closes, its running
-// requests end on the old version, and only then the engine is ordered.
-bool bring_to(
+// Brings one model to the version that the plan wants; true when an order was
+// sent. A model that is being served is drained first: its gate closes, its
+// running requests end on the old version, and only then the engine gets the
+// order.
+bool activate_version(
     state& state,
     control::assigned_model const& wanted,
     base::time_point now,
@@ -94,8 +96,8 @@
 {
     auto const& model = wanted.model;
     auto const serving = state.weights.serving.find(model);
-    auto const there = serving != state.weights.serving.end();
-    if (there && serving->second == wanted.digest)
+    auto const is_loaded = serving != state.weights.serving.end();
+    if (is_loaded && serving->second == wanted.digest)
     {
         open_gate(state, model);
         return false;
@@ -105,8 +107,8 @@
         open_gate(state, model);
         return false;
     }
-    if (there && !state.weights.switching.contains(model) &&
-        !may_move(state, wanted, now, out))
+    if (is_loaded && !state.weights.switching.contains(model) &&
+        !may_activate(state, wanted, now, out))
     {
         return false;
     }
@@ -119,19 +121,20 @@
     return true;
 }
 
-// One order at a time: load what is assigned and whole, unload what is no
-// longer assigned.
-void order_difference(state& state, base::time_point now, actions& out)
+// Sends at most one order: loads an assigned version that is complete, or
+// unloads a model that is no longer assigned.
+void order_next_change(state& state, base::time_point now, actions& out)
 {
-    auto const* const part = own_part(state);
-    if (part == nullptr || state.weights.order || !state.self.service.empty() ||
-        now < state.weights.order_not_before || !is_settled(state, now))
+    auto const* const plan_entry = own_plan_entry(state);
+    if (plan_entry == nullptr || state.weights.order ||
+        !state.self.service.empty() || now < state.weights.order_not_before ||
+        !is_settled(state, now))
     {
         return;
     }
-    for (auto const& wanted : part->models)
+    for (auto const& wanted : plan_entry->models)
     {
-        if (bring_to(state, wanted, now, out))
+        if (activate_version(state, wanted, now, out))
         {
             return;
         }
@@ -139,8 +142,8 @@
     for (auto const& [model, digest] : state.weights.serving)
     {
         auto const assigned = std::ranges::find(
-            part->models, model, &control::assigned_model::model);
-        if (assigned != part->models.end())
+            plan_entry->models, model, &control::assigned_model::model);
+        if (assigned != plan_entry->models.end())
         {
             continue;
         }
@@ -182,21 +185,21 @@
     for (auto const& digest : unused)
     {
         weights::remove_version(state.weights.store, digest);
-        state.weights.waits.erase(digest);
-        state.weights.passed.erase(digest);
+        state.weights.activation_waits.erase(digest);
+        state.weights.overtaken_by.erase(digest);
         out.push_back(core::write_log{
             kernel::event_id::weights_released, {{"digest", digest}}});
     }
 }
 
-// Whether the engine's report shows the order's effect.
+// Whether the engine's last report shows the effect of the order.
 bool took_effect(state const& state, order_engine const& order)
 {
     auto const found = state.weights.serving.find(order.model);
-    auto const there = found != state.weights.serving.end();
+    auto const is_loaded = found != state.weights.serving.end();
     return order.kind == order_kind::load
-               ? there && found->second == order.digest
-               : !there;
+               ? is_loaded && found->second == order.digest
+               : !is_loaded;
 }
 
 } // namespace
@@ -212,9 +215,9 @@
     {
         return;
     }
-    // Whether it took effect is read from the engine's reports, so that a lost
-    // answer and a refusal end the same way. The report that is on its way
-    // may be older than the effect; the one after it is not.
+    // Whether the order took effect is read from the engine's reports, so that
+    // a lost answer and a refusal are handled alike. The report in transit may
+    // be older than the effect; the one after it is not.
     constexpr int reports_until_known = 2;
     order->answered = true;
     order->reports_awaited = reports_until_known;
@@ -243,16 +246,17 @@
 
 void on_activation_tick(state& state, base::time_point now, actions& out)
 {
-    // Failure: the order's answer is lost and so may be the order. The gate
-    // stays closed while it is not known which version will answer; the order
-    // is given again, and once more is harmless.
+    // Failure: the answer to the order is lost, and possibly the order itself.
+    // The gate stays closed while it is unknown which version the engine
+    // serves. The order is sent again, which is harmless if the first one
+    // arrived.
     auto& order = state.weights.order;
     if (order && !order->answered && now - order->sent > order_timeout)
     {
         out.push_back(core::count_retry{base::error_kind::endpoint_lost});
         order.reset();
     }
-    order_difference(state, now, out);
+    order_next_change(state, now, out);
     release_unused(state, out);
 }
 
--- a/libs/agent_core/src/agent_core.cpp
+++ b/libs/agent_core/src/agent_core.cpp
@@ -14,12 +14,12 @@
 {
     auto const& peer = message.peer;
     auto const& envelope = message.envelope;
-    weights::note_heard(state.weights.book, peer, now);
+    weights::note_heard(state.weights.peer_table, peer, now);
     using body = wire::Envelope;
     switch (envelope.body_case())
     {
     case body::BODY_NOT_SET:
-        // Only tells the peer's new incarnation.
+        // Carries only the peer's new incarnation.
         return;
     case body::kRun:
         return on_run(state, peer, envelope.run(), now, out);
@@ -61,12 +61,12 @@
             state, peer, envelope.activation_reply(), now);
     default:
         out.push_back(core::report_error{
-            {base::error_kind::bad_frame, "no use for this message"},
+            {base::error_kind::bad_frame, "unexpected message type"},
             {{"peer", peer}}});
     }
 }
 
-// Hands each event to the flow that owns it.
+// Dispatches each event to the flow that handles it.
 class dispatcher
 {
 public:
@@ -108,7 +108,7 @@
 
     void operator()(attempt_output const& event)
     {
-        on_work_output(this->core, event, this->now, this->out);
+        on_attempt_output(this->core, event, this->now, this->out);
     }
 
     void operator()(endpoint_report const& event)
--- a/libs/agent_core/src/baseline_flow.cpp
+++ b/libs/agent_core/src/baseline_flow.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-// Agents that one note of the swarm goes to.
+// Number of agents that one gossip message is sent to.
 constexpr std::size_t gossip_targets = 4;
 
 std::vector<control::plan_endpoint const*>
@@ -53,8 +53,8 @@
     {
         return holding[base::random_below(state.random, holding.size())];
     }
-    // Nobody is known to hold it: the origin is one source among all the
-    // others, so it is drawn from as often as one of them would be asked.
+    // No agent is known to hold the chunk. The origin counts as one source
+    // among all the others, so it is chosen as often as each of them would be.
     if (base::random_below(state.random, agents.size() + 1) == 0)
     {
         return origin;
--- a/libs/agent_core/src/chunk_requests.cpp
+++ b/libs/agent_core/src/chunk_requests.cpp
@@ -10,22 +10,23 @@
 
 using std::chrono::milliseconds;
 
-// Missing chunks that are looked at, in order. Imports go in order too, so
-// those further on would only wait; and it bounds the work of a tick.
+// Number of missing chunks that are considered, in order. Chunks are also
+// fetched from the origin in order, so later ones would only wait. The limit
+// also bounds the work of a tick.
 constexpr std::uint32_t look_ahead = 64;
 
-// Chunks asked for at once. Waiting ones cost a request only; at 256 KiB a
-// chunk and no more than a few under way, an agent's memory for unverified
-// bytes stays below 16 MiB.
-constexpr std::size_t most_pending = 48;
+// Maximum number of outstanding chunk requests. A request that waits costs
+// little; with chunks of 256 KiB and only a few in transit, an agent's memory
+// for unverified bytes stays below 16 MiB.
+constexpr std::size_t max_pending = 48;
 
-// Failure: the plan of another domain of the region comes a second after the
-// own one, and until then each domain takes itself for the only one: the origin
-// gives one copy to each domain and not to each region. The release tells which
-// domains there are; their plans are waited for this long.
-constexpr milliseconds plan_patience{2500};
+// Failure: the plan of another domain in the region arrives a second after this
+// domain's own plan. Until then each domain considers itself the only one, and
+// the origin sends one copy per domain instead of one per region. The release
+// tells which domains exist; their plans are awaited for this long.
+constexpr milliseconds plan_wait{2500};
 
-// Domains of this region that want the version according to the release.
+// Domains of this region that need the version according to the release.
 std::set<std::string>
 expected_domains(state const& state, std::string const& digest)
 {
@@ -76,15 +77,16 @@
         {
             continue;
         }
-        if (auto const* const part = control::find_agent(plan->second, agent))
+        if (auto const* const plan_entry =
+                control::find_agent(plan->second, agent))
         {
-            found.push_back({agent, part->address});
+            found.push_back({agent, plan_entry->address});
         }
     }
     return found;
 }
 
-void draw_from_origin(
+void fetch_from_origin(
     state& state,
     transfer& transfer,
     std::uint32_t index,
@@ -93,15 +95,15 @@
     actions& out)
 {
     auto const& version = state.weights.store.versions.at(transfer.digest);
-    weights::import_slot turn;
-    turn.started = transfer.described;
-    turn.in_turn = state.weights.how == distribution::forest;
-    turn.index = index;
-    turn.chunk_bytes = version.description.chunk_bytes;
-    turn.missing_before = missing_before;
-    turn.transfers = static_cast<std::uint32_t>(state.weights.transfers.size());
-    turn.last_chunk = transfer.last_chunk;
-    if (!weights::may_fetch_from_origin(state.weights.origin, turn, now))
+    weights::import_slot slot;
+    slot.started = transfer.manifest_received;
+    slot.in_turn = state.weights.how == distribution::forest;
+    slot.index = index;
+    slot.chunk_bytes = version.description.chunk_bytes;
+    slot.missing_before = missing_before;
+    slot.transfers = static_cast<std::uint32_t>(state.weights.transfers.size());
+    slot.last_chunk = transfer.last_chunk;
+    if (!weights::may_fetch_from_origin(state.weights.origin, slot, now))
     {
         return;
     }
@@ -110,7 +112,7 @@
     out.push_back(fetch_chunk{transfer.digest, index});
 }
 
-void ask_peer(
+void request_from_peer(
     state& state,
     transfer& transfer,
     std::uint32_t index,
@@ -118,7 +120,7 @@
     base::time_point now,
     actions& out)
 {
-    if (!weights::has_room(state.weights.book, source.agent))
+    if (!weights::has_room(state.weights.peer_table, source.agent))
     {
         return;
     }
@@ -129,7 +131,7 @@
     {
         pending.held_since = now;
     }
-    weights::note_requested(state.weights.book, source.agent, now);
+    weights::note_requested(state.weights.peer_table, source.agent, now);
     connect_source(state, source, out);
     core::send_message message{source.agent, {}};
     auto* const request = message.envelope.mutable_chunk_request();
@@ -154,7 +156,7 @@
     }
     if (!found->second.agent.empty())
     {
-        weights::note_dropped(state.weights.book, found->second.agent);
+        weights::note_dropped(state.weights.peer_table, found->second.agent);
     }
     transfer.pending.erase(found);
 }
@@ -180,20 +182,21 @@
     weights::source_view view;
     view.is_usable = [&](std::string const& agent)
     {
-        return weights::is_usable(state.weights.book, agent, now) &&
+        return weights::is_usable(state.weights.peer_table, agent, now) &&
                !is_declined(transfer, index, agent, now);
     };
     view.known_holders = known_holders(state, transfer, index);
     auto const best = weights::choose_source(*sources, view);
     if (best.agent.empty() && sources->incomplete &&
-        now - transfer.started < plan_patience)
+        now - transfer.started < plan_wait)
     {
         return std::nullopt;
     }
-    // Failure: the origin is down, so every importer hands its chunks on and
-    // in the end all agents wait to draw all chunks; once it is back its link
-    // would carry dozens of copies. Who was handed a chunk and finds the
-    // origin down itself goes back to waiting for those before it.
+    // Failure: the origin is down, so each agent that fetches from it passes
+    // its chunks on, until all agents wait to fetch all chunks; once it is
+    // back, its link would carry dozens of copies. An agent that took over a
+    // chunk and cannot reach the origin either goes back to waiting for the
+    // agents before it.
     if (!best.agent.empty() ||
         !weights::suspects_origin(state.weights.origin, now))
     {
@@ -201,12 +204,12 @@
     }
     view.is_usable = [&](std::string const& agent)
     {
-        return weights::is_usable(state.weights.book, agent, now);
+        return weights::is_usable(state.weights.peer_table, agent, now);
     };
     return weights::choose_source(*sources, view);
 }
 
-void ask_for_more(
+void request_missing_chunks(
     state& state, transfer& transfer, base::time_point now, actions& out)
 {
     auto const version = state.weights.store.versions.find(transfer.digest);
@@ -218,7 +221,7 @@
     std::uint32_t missing = 0;
     for (std::uint32_t index = 0; index < chunks.size(); ++index)
     {
-        if (missing >= look_ahead || transfer.pending.size() >= most_pending)
+        if (missing >= look_ahead || transfer.pending.size() >= max_pending)
         {
             return;
         }
@@ -236,11 +239,11 @@
                                 : baseline_source(state, transfer, index);
         if (source && source->agent.empty())
         {
-            draw_from_origin(state, transfer, index, before, now, out);
+            fetch_from_origin(state, transfer, index, before, now, out);
         }
         else if (source)
         {
-            ask_peer(state, transfer, index, *source, now, out);
+            request_from_peer(state, transfer, index, *source, now, out);
         }
     }
 }
--- a/libs/agent_core/src/control_flow.cpp
+++ b/libs/agent_core/src/control_flow.cpp
@@ -9,12 +9,13 @@
 namespace
 {
 
-// An entry that has not asked for this long gets no more heartbeats.
-constexpr std::chrono::milliseconds listener_limit{16'000};
+// An entry that has not renewed its subscription for this long gets no more
+// heartbeats.
+constexpr std::chrono::milliseconds listener_timeout{16'000};
 
-// A heartbeat says all again after so many brief ones, in case that the last
-// whole one was lost.
-constexpr std::uint32_t most_brief_beats = 15;
+// After this many brief heartbeats a full one is sent, in case the last full
+// one was lost.
+constexpr std::uint32_t max_brief_heartbeats = 15;
 
 std::uint64_t own_plan_version(state const& state)
 {
@@ -22,20 +23,20 @@
     return found == state.control.plans.end() ? 0 : found->second.version;
 }
 
-// What changes seldom; brief heartbeats leave it out.
-void add_detail(state const& state, wire::Heartbeat& beat)
+// Adds the fields that rarely change; brief heartbeats omit them.
+void add_detail(state const& state, wire::Heartbeat& heartbeat)
 {
-    beat.set_failure_domain(state.self.failure_domain);
-    beat.set_region(state.self.region);
-    beat.set_service(state.self.service);
-    beat.set_engine_instance(state.requests.gate.instance);
+    heartbeat.set_failure_domain(state.self.failure_domain);
+    heartbeat.set_region(state.self.region);
+    heartbeat.set_service(state.self.service);
+    heartbeat.set_engine_instance(state.requests.gate.instance);
     for (auto const& [model, digest] : state.weights.serving)
     {
         if (state.weights.switching.contains(model))
         {
             continue;
         }
-        auto* const loaded = beat.add_loaded();
+        auto* const loaded = heartbeat.add_loaded();
         loaded->set_model(model);
         loaded->set_digest(digest);
     }
@@ -44,22 +45,22 @@
 wire::Heartbeat make_heartbeat(state const& state)
 {
     auto const& gate = state.requests.gate;
-    wire::Heartbeat beat;
+    wire::Heartbeat heartbeat;
     auto const usable = state.control.endpoint_reachable;
-    beat.set_limit(usable ? gate.limit : 0);
-    beat.set_running(static_cast<std::uint32_t>(gate.running.size()));
-    beat.set_leaving(state.control.stopping);
-    beat.set_cold(state.control.endpoint_cold);
-    beat.set_generation(state.control.configuration.generation);
-    beat.set_plan_version(own_plan_version(state));
+    heartbeat.set_limit(usable ? gate.limit : 0);
+    heartbeat.set_running(static_cast<std::uint32_t>(gate.running.size()));
+    heartbeat.set_leaving(state.control.stopping);
+    heartbeat.set_cold(state.control.endpoint_cold);
+    heartbeat.set_generation(state.control.configuration.generation);
+    heartbeat.set_plan_version(own_plan_version(state));
     for (auto const& [digest, version] : state.weights.store.versions)
     {
-        beat.set_chunks_held(beat.chunks_held() + version.held);
-        beat.set_chunks_wanted(
-            beat.chunks_wanted() +
+        heartbeat.set_chunks_held(heartbeat.chunks_held() + version.held);
+        heartbeat.set_chunks_wanted(
+            heartbeat.chunks_wanted() +
             static_cast<std::uint32_t>(version.chunks.size()));
     }
-    return beat;
+    return heartbeat;
 }
 
 std::uint64_t plans_hash(state const& state)
@@ -95,23 +96,23 @@
     wire::Heartbeat detail;
     add_detail(state, detail);
     auto const hash = base::stable_hash(detail.SerializeAsString());
-    auto beat = make_heartbeat(state);
+    auto heartbeat = make_heartbeat(state);
     auto const brief =
-        hash == to.detail_hash && to.brief_beats < most_brief_beats;
+        hash == to.detail_hash && to.brief_heartbeats < max_brief_heartbeats;
     if (brief)
     {
-        beat.set_brief(true);
-        ++to.brief_beats;
+        heartbeat.set_brief(true);
+        ++to.brief_heartbeats;
     }
     else
     {
-        beat.MergeFrom(detail);
+        heartbeat.MergeFrom(detail);
         to.detail_hash = hash;
-        to.brief_beats = 0;
+        to.brief_heartbeats = 0;
     }
-    to.last_beat = now;
+    to.last_heartbeat = now;
     core::send_message message{entry, {}};
-    *message.envelope.mutable_heartbeat() = std::move(beat);
+    *message.envelope.mutable_heartbeat() = std::move(heartbeat);
     out.push_back(std::move(message));
 }
 
@@ -137,9 +138,10 @@
 void on_configuration_push(
     state& state, wire::ConfigurationPush const& push, actions& out)
 {
-    // Failure: an older configuration arrives late, from a peer that lagged.
-    // Callers would see a withdrawn model or a domain that is out come back.
-    // The generation only grows, so comparing it holds for any order.
+    // Failure: an older configuration arrives late from a peer that lagged, and
+    // callers see a withdrawn model again or a failure domain that is out of
+    // service. Generations only grow, so the comparison is correct for any
+    // order of arrival.
     if (push.generation() <= state.control.configuration.generation)
     {
         return;
@@ -200,7 +202,7 @@
         state.control.listeners.try_emplace(message.peer);
     auto& to = place->second;
     auto const is_new = added || to.incarnation != incarnation;
-    to.heard = now;
+    to.last_heard = now;
     to.incarnation = incarnation;
     if (digest.heartbeat_ms() > 0)
     {
@@ -239,8 +241,8 @@
     {
         report_crash(state, now, out);
     }
-    auto const turned = report.instance != gate.instance ||
-                        (report.cold && !control.endpoint_cold);
+    auto const restarted_or_cold = report.instance != gate.instance ||
+                                   (report.cold && !control.endpoint_cold);
     control.endpoint_cold = report.cold;
     gate.reports_cold = report.cold;
     auto const before = state.weights.serving;
@@ -250,10 +252,10 @@
         state.weights.serving[loaded.model] = loaded.digest;
     }
     on_release_changed(state);
-    // Failure: the endpoint restarted or went cold without a word; under the
-    // load that it bore when warm it would fall over and every caller on it
-    // would lose the answer. Its instance or state tells.
-    if (turned && state.self.service.empty())
+    // Failure: the endpoint restarts or goes cold without notice, and the load
+    // that it handled when warm overloads it, so all its callers lose their
+    // answers. A new instance name or a reported cold state reveals this.
+    if (restarted_or_cold && state.self.service.empty())
     {
         request::turn_cold(gate, report.instance);
         out.push_back(core::write_log{
@@ -285,7 +287,7 @@
         control.listeners,
         [now](auto const& entry)
         {
-            return now - entry.second.heard > listener_limit;
+            return now - entry.second.last_heard > listener_timeout;
         });
     if (control.heartbeat_due)
     {
@@ -294,7 +296,7 @@
     }
     for (auto& [entry, to] : control.listeners)
     {
-        if (now - to.last_beat >= to.interval)
+        if (now - to.last_heartbeat >= to.interval)
         {
             send_heartbeat(state, entry, to, now, out);
         }
@@ -307,7 +309,8 @@
     if (found != state.control.listeners.end() &&
         failed.envelope.has_heartbeat())
     {
-        // It did not hear what was said last.
+        // The entry did not receive the last heartbeat; the next one is a full
+        // one.
         found->second.detail_hash = 0;
     }
 }
--- a/libs/agent_core/src/flows.hpp
+++ b/libs/agent_core/src/flows.hpp
@@ -3,8 +3,8 @@
 
 #include <agent_core/agent_core.hpp>
 
-// The parts of the agent's state machine, one file each. Each function takes
-// one event and appends what to do.
+// The parts of the agent's state machine, one source file each. Each function
+// handles one event and appends the resulting actions to `out`.
 namespace foxtailvale::agent_core
 {
 
@@ -18,7 +18,7 @@
     base::time_point now,
     actions& out);
 void on_cancel(state& state, wire::Cancel const& cancel, actions& out);
-void on_work_output(
+void on_attempt_output(
     state& state,
     attempt_output const& output,
     base::time_point now,
@@ -27,14 +27,15 @@
     state const& state, wire::RunOutput const& output, actions& out);
 void on_release_changed(state& state);
 void check_drained(state& state, base::time_point now, actions& out);
-// Tells the entry why an attempt was not run.
+// Sends the entry the reason why an attempt was not run.
 void refuse_attempt(
     state const& state,
     std::string const& entry,
     wire::AttemptId const& attempt,
     base::error const& reason,
     actions& out);
-// Takes a slot for the attempt, or says why there is none.
+// Reserves a slot for the attempt; fails with the reason when none is free or
+// the target is not served here.
 base::result<void> admit_attempt(
     state& state, base::attempt_id attempt, wire::Target const& target);
 
@@ -45,7 +46,8 @@
     wire::Reserve const& reserve,
     base::time_point now,
     actions& out);
-// Spends the token; false when it is not the one that was granted.
+// Consumes the reservation token; false when it is unknown, expired or already
+// used.
 bool spend_token(
     state& state,
     base::attempt_id attempt,
@@ -54,7 +56,7 @@
 void on_confirm_not_run(
     state& state,
     std::string const& peer,
-    wire::ConfirmNotRun const& ask,
+    wire::ConfirmNotRun const& confirm,
     base::time_point now,
     actions& out);
 void on_outcome_query(
@@ -62,7 +64,7 @@
     std::string const& peer,
     wire::OutcomeQuery const& query,
     actions& out);
-// Remembers what a caller that sends its request again must be told.
+// Stores the outcome of an attempt for a caller that retries its request.
 void remember_outcome(
     state& state,
     base::attempt_id attempt,
@@ -120,9 +122,12 @@
 void on_upload_tick(state& state, base::time_point now, actions& out);
 
 // suspect_flow.cpp
-// The endpoint broke an attempt off.
-void note_loss(state& state, std::uint64_t fingerprint, base::time_point now);
-// The endpoint crashed: tells the entries what ran on it.
+//
+// Records that the endpoint broke off an attempt.
+void note_lost_attempt(
+    state& state, std::uint64_t fingerprint, base::time_point now);
+// Handles a crash of the endpoint: notifies the entries of the requests that
+// ran on it.
 void report_crash(state& state, base::time_point now, actions& out);
 void on_suspect_notice(
     state const& state,
@@ -172,7 +177,7 @@
 void on_control_tick(state& state, base::time_point now, actions& out);
 void on_control_send_failed(state& state, core::send_failed const& failed);
 void on_stop(state& state, base::time_point now, actions& out);
-// Tells every listening entry at once how this agent stands.
+// Sends a heartbeat to every listener at once.
 void send_heartbeats(state& state, base::time_point now, actions& out);
 
 } // namespace foxtailvale::agent_core
--- a/libs/agent_core/src/manifest_flow.cpp
+++ b/libs/agent_core/src/manifest_flow.cpp
@@ -8,23 +8,24 @@
 namespace
 {
 
-// Neighbours are asked again after this long; each answers at once or when it
-// has the manifest itself.
-constexpr std::chrono::milliseconds ask_interval{1000};
+// Interval between requests to the same neighbours. A neighbour answers at
+// once, or as soon as it has the manifest itself.
+constexpr std::chrono::milliseconds request_interval{1000};
 
-// What neighbours hold changes with the speed of a burst, and asking costs a
-// manifest's size.
+// Interval between requests for what neighbours hold. It changes as fast as a
+// burst progresses, but each answer is as large as a manifest.
 constexpr std::chrono::milliseconds holdings_interval{3000};
 
-// Manifests from the origin that are not the one asked for, before the version
-// is refused.
-constexpr std::uint32_t most_corrupt_manifests = 3;
+// Number of manifests from the origin with a wrong digest after which the
+// version is refused.
+constexpr std::uint32_t max_corrupt_manifests = 3;
 
-// An agent turns to the origin for the manifest only when it should have come
-// by now: the later, the further back it stands in the first chunk's order.
-constexpr std::chrono::milliseconds origin_patience{2000};
+// An agent fetches the manifest from the origin only when it should have
+// arrived by now. The delay grows with the agent's position in the order of the
+// first chunk.
+constexpr std::chrono::milliseconds origin_delay_per_rank{2000};
 
-void ask_neighbour(
+void send_manifest_request(
     state& state,
     std::string const& digest,
     weights::chunk_source const& source,
@@ -36,17 +37,18 @@
     out.push_back(std::move(message));
 }
 
-void ask_neighbours(state& state, transfer const& transfer, actions& out)
+void request_from_neighbours(
+    state& state, transfer const& transfer, actions& out)
 {
     for (auto const& neighbour : weights::neighbours_of(
              state.control.plans, state.self.failure_domain, state.self.name,
              transfer.digest))
     {
-        ask_neighbour(state, transfer.digest, neighbour, out);
+        send_manifest_request(state, transfer.digest, neighbour, out);
     }
 }
 
-void draw_manifest(
+void fetch_origin_manifest(
     state& state,
     transfer& transfer,
     weights::chunk_sources const& sources,
@@ -55,13 +57,13 @@
 {
     auto const rank =
         std::min<std::size_t>(sources.place + sources.outside.size(), 10);
-    auto const patience = origin_patience * static_cast<int>(rank);
-    auto const may_ask = state.weights.how != distribution::forest ||
-                         now - transfer.started >= patience;
-    if (!transfer.manifest_drawn && may_ask &&
+    auto const delay = origin_delay_per_rank * static_cast<int>(rank);
+    auto const is_due = state.weights.how != distribution::forest ||
+                        now - transfer.started >= delay;
+    if (!transfer.manifest_fetch_pending && is_due &&
         now >= state.weights.origin.not_before)
     {
-        transfer.manifest_drawn = true;
+        transfer.manifest_fetch_pending = true;
         weights::note_origin_fetch_started(state.weights.origin);
         out.push_back(fetch_manifest{transfer.digest});
     }
@@ -81,7 +83,7 @@
     out.push_back(std::move(message));
 }
 
-void answer_waiters(state& state, std::string const& digest, actions& out)
+void reply_to_waiters(state& state, std::string const& digest, actions& out)
 {
     auto const waiting = state.weights.manifest_waiters.find(digest);
     if (waiting == state.weights.manifest_waiters.end())
@@ -95,8 +97,8 @@
     state.weights.manifest_waiters.erase(waiting);
 }
 
-// Keeps the manifest of a version that is on its way; the error when it is not
-// the one asked for or its version has no room.
+// Stores the manifest of a version in transfer; fails when it is not the
+// requested one or there is no room for the version.
 base::result<void> accept_manifest(
     state& state,
     std::string const& digest,
@@ -111,13 +113,14 @@
         return boost::outcome_v2::success();
     }
     BOOST_OUTCOME_TRYV(weights::add_version(state.weights.store, digest, text));
-    answer_waiters(state, digest, out);
+    reply_to_waiters(state, digest, out);
     begin_chunks(state, found->second, now, out);
     return boost::outcome_v2::success();
 }
 
-// The origin's manifest cannot be used. A damaged one stays damaged, so after
-// a few the version is refused; without room it is tried again, ever slower.
+// Handles an unusable manifest from the origin. A damaged one stays damaged, so
+// the version is refused after a few attempts. When room is missing, the fetch
+// is retried at growing intervals.
 void reject_manifest(
     state& state,
     std::string const& digest,
@@ -131,7 +134,7 @@
     {
         return;
     }
-    if (++found->second.corrupt_manifests >= most_corrupt_manifests)
+    if (++found->second.corrupt_manifests >= max_corrupt_manifests)
     {
         refuse_version(state, found->second, out);
     }
@@ -139,7 +142,7 @@
 
 } // namespace
 
-void ask_for_manifest(
+void request_manifest(
     state& state, transfer& transfer, base::time_point now, actions& out)
 {
     auto const sources = weights::sources_of(
@@ -149,29 +152,29 @@
     {
         return;
     }
-    draw_manifest(state, transfer, *sources, now, out);
-    if (now - transfer.manifest_asked < ask_interval)
+    fetch_origin_manifest(state, transfer, *sources, now, out);
+    if (now - transfer.manifest_requested < request_interval)
     {
         return;
     }
-    transfer.manifest_asked = now;
-    ask_neighbours(state, transfer, out);
+    transfer.manifest_requested = now;
+    request_from_neighbours(state, transfer, out);
     for (auto const* const list : {&sources->ancestors, &sources->outside})
     {
         for (auto const& source : *list)
         {
-            ask_neighbour(state, transfer.digest, source, out);
+            send_manifest_request(state, transfer.digest, source, out);
         }
     }
 }
 
-void ask_for_holdings(
+void request_holdings(
     state& state, transfer& transfer, base::time_point now, actions& out)
 {
-    if (now - transfer.manifest_asked >= holdings_interval)
+    if (now - transfer.manifest_requested >= holdings_interval)
     {
-        transfer.manifest_asked = now;
-        ask_neighbours(state, transfer, out);
+        transfer.manifest_requested = now;
+        request_from_neighbours(state, transfer, out);
     }
 }
 
@@ -181,8 +184,9 @@
     wire::ManifestRequest const& request,
     actions& out)
 {
-    // Digests that may be waited for; a stranger could invent many.
-    constexpr std::size_t most_waited = 64;
+    // Maximum number of digests with waiting agents; an unknown peer could
+    // invent any number of digests.
+    constexpr std::size_t max_waited_digests = 64;
     auto const& digest = request.digest();
     if (state.weights.store.versions.contains(digest))
     {
@@ -190,7 +194,7 @@
         return;
     }
     auto& waiters = state.weights.manifest_waiters;
-    if (waiters.size() < most_waited || waiters.contains(digest))
+    if (waiters.size() < max_waited_digests || waiters.contains(digest))
     {
         waiters[digest].insert(peer);
     }
@@ -209,15 +213,15 @@
         return;
     }
     found->second.holders[peer] = read_bitmap(reply.bitmap());
-    auto const kept =
+    auto const accepted =
         accept_manifest(state, reply.digest(), reply.document(), now, out);
-    if (!kept)
+    if (!accepted)
     {
-        out.push_back(core::report_error{kept.error(), {{"source", peer}}});
+        out.push_back(core::report_error{accepted.error(), {{"source", peer}}});
     }
-    if (!kept && kept.error().kind == base::error_kind::bad_digest)
+    if (!accepted && accepted.error().kind == base::error_kind::bad_digest)
     {
-        weights::blame(state.weights.book, peer, now);
+        weights::blame(state.weights.peer_table, peer, now);
     }
 }
 
@@ -230,21 +234,21 @@
     auto const found = state.weights.transfers.find(reply.digest);
     if (found != state.weights.transfers.end())
     {
-        found->second.manifest_drawn = false;
+        found->second.manifest_fetch_pending = false;
     }
-    auto const kept =
+    auto const accepted =
         reply.failure
             ? base::result<void>(
                   base::fail(reply.failure->kind, reply.failure->detail))
             : accept_manifest(state, reply.digest, reply.text, now, out);
     weights::note_origin_fetch_ended(
         state.weights.origin,
-        kept ? weights::origin_fetch_outcome::good
-             : outcome_of(std::optional<base::error>(kept.error())),
+        accepted ? weights::origin_fetch_outcome::good
+                 : outcome_of(std::optional<base::error>(accepted.error())),
         state.random, now);
-    if (!kept)
+    if (!accepted)
     {
-        reject_manifest(state, reply.digest, kept.error(), out);
+        reject_manifest(state, reply.digest, accepted.error(), out);
     }
 }
 
--- a/libs/agent_core/src/request_flow.cpp
+++ b/libs/agent_core/src/request_flow.cpp
@@ -15,8 +15,8 @@
     actions& out)
 {
     auto const& gate = state.requests.gate;
-    // As in the heartbeat: an endpoint that does not answer has no room, and
-    // a late reply must not say otherwise.
+    // As in the heartbeat, an unreachable endpoint has no capacity; a late
+    // reply must not report otherwise.
     output.set_limit(state.control.endpoint_reachable ? gate.limit : 0);
     output.set_running(static_cast<std::uint32_t>(gate.running.size()));
     core::send_message message{entry, {}};
@@ -26,9 +26,9 @@
 
 std::string serving_digest(state const& state, std::string const& model)
 {
-    // Failure: a request begins while the engine is ordered to another version
-    // and its answer comes from both. The gate stays closed from before the
-    // order until the engine has reported what it serves since.
+    // Failure: a request starts while the engine switches to another version,
+    // and its answer mixes both. The gate is closed before the order is sent
+    // and stays closed until the engine has reported what it serves afterwards.
     if (state.weights.switching.contains(model))
     {
         return "";
@@ -37,23 +37,24 @@
     return found == state.weights.serving.end() ? "" : found->second;
 }
 
-// Whether the attempt is aimed at what stands behind this agent.
-bool is_ours(state const& state, wire::Target const& target)
+// Whether the target is the endpoint of this agent.
+bool is_target_local(state const& state, wire::Target const& target)
 {
     return state.self.service.empty() ? !target.model().empty()
                                       : target.service() == state.self.service;
 }
 
-// Failure: an engine that has just restarted answers 503 because it holds no
-// model yet. Relayed, a caller would read an engine's internal fault although
-// another endpoint could answer; as a failure the entry sends it elsewhere.
-constexpr std::uint32_t first_server_fault = 500;
+// Failure: a restarted engine answers 503 because it has not loaded a model
+// yet. If that were relayed, the caller would get an internal engine error
+// although another endpoint could answer. Reported as a failure, it makes the
+// entry retry elsewhere.
+constexpr std::uint32_t first_server_error = 500;
 
 std::optional<base::error>
 failure_of(running_attempt const& attempt, attempt_output const& output)
 {
     if (output.failure || attempt.model.empty() ||
-        output.status < first_server_fault)
+        output.status < first_server_error)
     {
         return output.failure;
     }
@@ -69,8 +70,8 @@
            known->second.answer.state() != wire::OutcomeReply::NOT_RUN;
 }
 
-wire::OutcomeReply
-outcome_of(attempt_output const& output, std::optional<base::error> const& failure)
+wire::OutcomeReply outcome_of(
+    attempt_output const& output, std::optional<base::error> const& failure)
 {
     wire::OutcomeReply answer;
     if (failure)
@@ -111,14 +112,14 @@
 base::result<void> admit_attempt(
     state& state, base::attempt_id attempt, wire::Target const& target)
 {
-    if (!is_ours(state, target))
+    if (!is_target_local(state, target))
     {
         return base::fail(
             base::error_kind::version_mismatch, "not served here");
     }
-    request::gate_ask const ask{
+    request::gate_ask const query{
         attempt, target.digest(), serving_digest(state, target.model())};
-    return request::admit(state.requests.gate, ask);
+    return request::admit(state.requests.gate, query);
 }
 
 void on_run(
@@ -129,8 +130,9 @@
     actions& out)
 {
     auto const attempt = core::from_wire(run.attempt());
-    // Failure: a frame comes twice. Run twice, two vans go out; refused, the
-    // first run's answer would be taken for "not run". It is dropped.
+    // Failure: a frame arrives twice. A second run would send out two vans, and
+    // a refusal would make the first run's answer look like "not run". The
+    // duplicate is dropped.
     if (state.requests.running.contains(attempt) || has_ended(state, attempt))
     {
         return;
@@ -169,8 +171,11 @@
     }
 }
 
-void on_work_output(
-    state& state, attempt_output const& output, base::time_point now, actions& out)
+void on_attempt_output(
+    state& state,
+    attempt_output const& output,
+    base::time_point now,
+    actions& out)
 {
     auto const found = state.requests.running.find(output.attempt);
     if (found == state.requests.running.end())
@@ -197,7 +202,7 @@
     {
         if (failure && failure->kind == base::error_kind::endpoint_lost)
         {
-            note_loss(state, attempt.fingerprint, now);
+            note_lost_attempt(state, attempt.fingerprint, now);
         }
         request::finish(state.requests.gate, output.attempt, !failure);
         if (attempt.remembered)
@@ -210,9 +215,9 @@
     send_output(state, entry, std::move(message), out);
 }
 
-// Failure: the entry that asked is gone, and its streams would hold slots to
-// their end for nobody. A plain service's call is left to finish: it may be a
-// booking, whose caller will ask for its outcome.
+// Failure: the entry that sent the attempt is gone, and its streams would hold
+// slots to their end for no caller. The call of a plain service is left to
+// finish: it may be a booking whose caller will query the outcome.
 void on_output_undelivered(
     state const& state, wire::RunOutput const& output, actions& out)
 {
@@ -237,8 +242,8 @@
         gate.limit = gate.warm_limit;
         return;
     }
-    // An endpoint that holds several models bears what the most careful of
-    // them declares.
+    // An endpoint with several models can handle only the lowest limit that any
+    // of them declares.
     std::optional<std::uint32_t> warm;
     std::uint32_t cold = 1;
     for (auto const& [model, digest] : state.weights.serving)
--- a/libs/agent_core/src/reservation_flow.cpp
+++ b/libs/agent_core/src/reservation_flow.cpp
@@ -4,25 +4,26 @@
 
 #include <core/wire_ids.hpp>
 
-// Slots for non-idempotent requests, and what became of them.
+// Slots reserved for non-idempotent requests, and the outcomes of these
+// requests.
 namespace foxtailvale::agent_core
 {
 
 namespace
 {
 
-// How long a slot waits for its body. The entry writes a claim meanwhile, which
-// takes milliseconds; a store that needs longer must not hold back the slots of
-// requests that need no claim.
-constexpr std::chrono::milliseconds grant_length{2000};
+// How long a slot stays reserved for its body. The entry writes a claim in this
+// time, which takes milliseconds; a store that needs longer must not block
+// slots for requests that need no claim.
+constexpr std::chrono::milliseconds grant_lifetime{2000};
 
-// Outcomes are kept as long as a caller is likely to send again, and bounded
-// for a process that may use 128 MB.
-constexpr std::chrono::minutes outcome_length{10};
-constexpr std::size_t most_outcomes = 4096;
-constexpr std::size_t most_outcome_bytes = 16UL * 1024 * 1024;
+// Outcomes are stored for as long as a caller is likely to retry. Their number
+// and size are bounded because the process may use only 128 MB.
+constexpr std::chrono::minutes outcome_lifetime{10};
+constexpr std::size_t max_outcomes = 4096;
+constexpr std::size_t max_outcome_bytes = 16UL * 1024 * 1024;
 
-void forget_oldest(state& state)
+void evict_oldest_outcome(state& state)
 {
     auto& requests = state.requests;
     auto const oldest = requests.outcomes.find(requests.outcome_order.front());
@@ -70,7 +71,7 @@
 {
     auto const attempt = core::from_wire(reserve.attempt());
     auto& requests = state.requests;
-    // A frame that comes twice, or after its attempt was voided.
+    // The frame is a duplicate, or it arrived after its attempt was voided.
     if (requests.reservations.contains(attempt) ||
         requests.running.contains(attempt) ||
         requests.outcomes.contains(attempt))
@@ -83,14 +84,14 @@
         refuse_attempt(state, peer, reserve.attempt(), admitted.error(), out);
         return;
     }
-    // Zero means "no token" on the wire.
+    // Zero means "no token" on the wire, so the token must not be zero.
     auto const token = base::next_random(state.random) | 1U;
-    requests.reservations[attempt] = {peer, token, now + grant_length};
+    requests.reservations[attempt] = {peer, token, now + grant_lifetime};
     core::send_message message{peer, {}};
     auto* const grant = message.envelope.mutable_grant();
     *grant->mutable_attempt() = reserve.attempt();
     grant->set_token(token);
-    grant->set_valid_ms(static_cast<std::uint32_t>(grant_length.count()));
+    grant->set_valid_ms(static_cast<std::uint32_t>(grant_lifetime.count()));
     out.push_back(std::move(message));
 }
 
@@ -106,9 +107,9 @@
     {
         return false;
     }
-    // Failure: the body comes twice, or after its sender has told the caller
-    // "not run". The token is gone with its first use or its end, so neither
-    // runs.
+    // Failure: the body arrives twice, or after its sender reported "not run"
+    // to the caller. The token is removed when it is used or expires, so such a
+    // body does not run.
     state.requests.reservations.erase(found);
     return true;
 }
@@ -116,20 +117,20 @@
 void on_confirm_not_run(
     state& state,
     std::string const& peer,
-    wire::ConfirmNotRun const& ask,
+    wire::ConfirmNotRun const& confirm,
     base::time_point now,
     actions& out)
 {
-    auto const attempt = core::from_wire(ask.attempt());
+    auto const attempt = core::from_wire(confirm.attempt());
     if (state.requests.reservations.contains(attempt))
     {
         void_reservation(state, attempt, now);
     }
     core::send_message message{peer, {}};
     auto* const answer = message.envelope.mutable_not_run_confirmed();
-    *answer->mutable_attempt() = ask.attempt();
-    // An attempt that is not known here may have run before a restart: only
-    // one that is known as void is confirmed.
+    *answer->mutable_attempt() = confirm.attempt();
+    // An attempt that is unknown here may have run before a restart. Only one
+    // that is recorded as not run is confirmed.
     answer->set_not_run(
         find_outcome(state, attempt).state() == wire::OutcomeReply::NOT_RUN);
     out.push_back(std::move(message));
@@ -162,10 +163,10 @@
     requests.outcome_bytes += answer.body().size();
     requests.outcomes[attempt] = {std::move(answer), now};
     requests.outcome_order.push_back(attempt);
-    while (requests.outcomes.size() > most_outcomes ||
-           requests.outcome_bytes > most_outcome_bytes)
+    while (requests.outcomes.size() > max_outcomes ||
+           requests.outcome_bytes > max_outcome_bytes)
     {
-        forget_oldest(state);
+        evict_oldest_outcome(state);
     }
 }
 
@@ -186,9 +187,9 @@
     auto const& order = state.requests.outcome_order;
     while (!order.empty() &&
            now - state.requests.outcomes.at(order.front()).ended >
-               outcome_length)
+               outcome_lifetime)
     {
-        forget_oldest(state);
+        evict_oldest_outcome(state);
     }
 }
 
--- a/libs/agent_core/src/rollout_flow.cpp
+++ b/libs/agent_core/src/rollout_flow.cpp
@@ -8,28 +8,28 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds ask_interval{250};
+constexpr std::chrono::milliseconds query_interval{250};
 
-// An agent that has not answered for this long is gone; it serves nothing, so
-// its move need not be waited for.
-constexpr std::chrono::milliseconds silence_limit{5000};
+// An agent that has not answered for this long is considered dead. It serves
+// nothing, so the roll-out does not wait for it.
+constexpr std::chrono::milliseconds unresponsive_timeout{5000};
 
-// Where the release declares no higher floor, two thirds of a domain's
-// replicas go on serving while the others move.
-constexpr std::size_t moving_part = 3;
+// Unless the release declares a higher floor, two thirds of a domain's replicas
+// continue to serve while the others switch versions.
+constexpr std::size_t rollout_divisor = 3;
 
-using ring = std::vector<control::plan_endpoint const*>;
+using endpoint_list = std::vector<control::plan_endpoint const*>;
 
-ring movers(state const& state, std::string const& digest)
+endpoint_list rollout_order(state const& state, std::string const& digest)
 {
     auto const plan = state.control.plans.find(state.self.failure_domain);
     return plan == state.control.plans.end()
-               ? ring{}
+               ? endpoint_list{}
                : control::holders(plan->second, digest);
 }
 
-// Replicas of a domain that may move at once.
-std::size_t moves_at_once(
+// Number of replicas of a domain that may switch at the same time.
+std::size_t max_concurrent_moves(
     state const& state, std::string const& model, std::size_t replicas)
 {
     auto const released = state.control.configuration.models.find(model);
@@ -37,10 +37,10 @@
                            ? 0
                            : released->second.floor;
     auto const spare = replicas > floor ? replicas - floor : 1;
-    return std::clamp<std::size_t>(replicas / moving_part, 1, spare);
+    return std::clamp<std::size_t>(replicas / rollout_divisor, 1, spare);
 }
 
-void ask(
+void send_activation_query(
     state& state,
     control::plan_endpoint const& agent,
     control::assigned_model const& wanted,
@@ -54,13 +54,13 @@
     out.push_back(std::move(message));
 }
 
-// The agent that must have moved before this one; nothing when there is none.
+// The agent that must switch before this one; null when there is none.
 control::plan_endpoint const* predecessor(
     state const& state,
     control::assigned_model const& wanted,
     std::size_t skipped)
 {
-    auto const order = movers(state, wanted.digest);
+    auto const order = rollout_order(state, wanted.digest);
     auto const self = std::ranges::find(
         order, state.self.name, &control::plan_endpoint::agent);
     if (self == order.end())
@@ -68,7 +68,7 @@
         return nullptr;
     }
     auto const place = static_cast<std::size_t>(self - order.begin());
-    auto const width = moves_at_once(state, wanted.model, order.size());
+    auto const width = max_concurrent_moves(state, wanted.model, order.size());
     auto const distance = width * (skipped + 1);
     return place < distance ? nullptr : order[place - distance];
 }
@@ -83,47 +83,47 @@
 
 } // namespace
 
-bool may_move(
+bool may_activate(
     state& state,
     control::assigned_model const& wanted,
     base::time_point now,
     actions& out)
 {
-    auto& wait = state.weights.waits[wanted.digest];
+    auto& wait = state.weights.activation_waits[wanted.digest];
     auto const* const before = predecessor(state, wanted, wait.skipped);
-    auto& passed = state.weights.passed[wanted.digest];
+    auto& overtaken_by = state.weights.overtaken_by[wanted.digest];
     auto const predecessor_done = before == nullptr || wait.predecessor_done;
-    if (predecessor_done && passed.empty())
+    if (predecessor_done && overtaken_by.empty())
     {
         return true;
     }
-    if (wait.heard == base::time_point{})
+    if (wait.last_heard == base::time_point{})
     {
-        wait.heard = now;
+        wait.last_heard = now;
     }
-    // Failure: the agent waited for died in the middle of a roll-out, and all
-    // behind it would keep the old version for good.
-    if (now - wait.heard > silence_limit)
+    // Failure: the agent that is waited for dies during a roll-out, and all
+    // agents after it would stay on the old version for good.
+    if (now - wait.last_heard > unresponsive_timeout)
     {
-        wait.heard = now;
-        passed.clear();
+        wait.last_heard = now;
+        overtaken_by.clear();
         wait.skipped += predecessor_done ? 0 : 1;
         return false;
     }
-    if (now - wait.asked < ask_interval)
+    if (now - wait.last_queried < query_interval)
     {
         return false;
     }
-    wait.asked = now;
+    wait.last_queried = now;
     if (!predecessor_done)
     {
-        ask(state, *before, wanted, out);
+        send_activation_query(state, *before, wanted, out);
     }
-    for (auto const* const agent : movers(state, wanted.digest))
+    for (auto const* const agent : rollout_order(state, wanted.digest))
     {
-        if (passed.contains(agent->agent))
+        if (overtaken_by.contains(agent->agent))
         {
-            ask(state, *agent, wanted, out);
+            send_activation_query(state, *agent, wanted, out);
         }
     }
     return false;
@@ -141,15 +141,16 @@
     reply->set_model(query.model());
     reply->set_digest(digest);
     reply->set_active(serves(state, query.model(), digest));
-    // An agent whose own chunks are late lets those behind it go first and
-    // waits for them in turn, so that no more move at once than may.
+    // An agent whose chunks are still missing lets later agents switch first
+    // and then waits for them in turn, so that the limit on concurrent switches
+    // holds.
     auto const passes = !reply->active() &&
                         !weights::is_complete(state.weights.store, digest) &&
                         !state.weights.switching.contains(query.model());
     if (passes)
     {
         reply->set_passes(true);
-        state.weights.passed[digest].insert(peer);
+        state.weights.overtaken_by[digest].insert(peer);
     }
     out.push_back(std::move(message));
 }
@@ -160,16 +161,16 @@
     wire::ActivationReply const& reply,
     base::time_point now)
 {
-    auto const found = state.weights.waits.find(reply.digest());
-    if (found == state.weights.waits.end())
+    auto const found = state.weights.activation_waits.find(reply.digest());
+    if (found == state.weights.activation_waits.end())
     {
         return;
     }
     auto& wait = found->second;
-    wait.heard = now;
+    wait.last_heard = now;
     if (reply.active())
     {
-        state.weights.passed[reply.digest()].erase(peer);
+        state.weights.overtaken_by[reply.digest()].erase(peer);
     }
     auto const* const before =
         predecessor(state, {reply.model(), reply.digest()}, wait.skipped);
--- a/libs/agent_core/src/suspect_flow.cpp
+++ b/libs/agent_core/src/suspect_flow.cpp
@@ -2,28 +2,28 @@
 
 #include <algorithm>
 
-// What ran as the endpoint crashed.
+// Tracks which requests ran when the endpoint crashed.
 namespace foxtailvale::agent_core
 {
 
 namespace
 {
 
-// A crash shows first as broken answers, and some hundred milliseconds later
+// A crash shows first as broken-off answers and some hundred milliseconds later
 // in the endpoint's report.
 constexpr std::chrono::milliseconds crash_window{3000};
 
-// A batch holds fewer; the bound is against an agent that loses its endpoint
-// again and again.
-constexpr std::size_t most_losses = 256;
+// A batch holds fewer requests than this. The bound limits memory when an
+// endpoint crashes again and again.
+constexpr std::size_t max_lost_attempts = 256;
 
-void tell_listeners(
+void notify_listeners(
     state const& state,
     wire::SuspectNotice const& notice,
     std::string const& except,
     actions& out)
 {
-    for (auto const& [entry, heard] : state.control.listeners)
+    for (auto const& [entry, subscription] : state.control.listeners)
     {
         if (entry != except)
         {
@@ -36,22 +36,24 @@
 
 } // namespace
 
-void note_loss(state& state, std::uint64_t fingerprint, base::time_point now)
+void note_lost_attempt(
+    state& state, std::uint64_t fingerprint, base::time_point now)
 {
-    auto& losses = state.requests.losses;
-    losses.push_back({fingerprint, now});
-    if (losses.size() > most_losses)
+    auto& lost_attempts = state.requests.lost_attempts;
+    lost_attempts.push_back({fingerprint, now});
+    if (lost_attempts.size() > max_lost_attempts)
     {
-        losses.pop_front();
+        lost_attempts.pop_front();
     }
 }
 
 void report_crash(state& state, base::time_point now, actions& out)
 {
-    // An engine's batch falls as a whole: the culprit and those beside it. The
-    // entries find the culprit by its second crash elsewhere.
+    // All requests of an engine's batch fail together, the one that caused the
+    // crash and those beside it. The entries identify the cause when it crashes
+    // a second endpoint.
     std::set<std::uint64_t> fingerprints;
-    for (auto const& loss : state.requests.losses)
+    for (auto const& loss : state.requests.lost_attempts)
     {
         if (now - loss.time < crash_window)
         {
@@ -62,13 +64,13 @@
     {
         fingerprints.insert(running.fingerprint);
     }
-    state.requests.losses.clear();
+    state.requests.lost_attempts.clear();
     for (auto const fingerprint : fingerprints)
     {
         wire::SuspectNotice notice;
         notice.set_fingerprint(fingerprint);
         notice.set_endpoint(state.self.name);
-        tell_listeners(state, notice, "", out);
+        notify_listeners(state, notice, "", out);
     }
 }
 
@@ -78,11 +80,12 @@
     wire::SuspectNotice const& notice,
     actions& out)
 {
-    // Only an entry that an operator spoke to sends one, and each entry that
-    // hears it from here acts without passing it on: no notice goes round.
+    // Only the entry that got the operator's command sends this notice. Entries
+    // that receive it from here act on it without forwarding it, so a notice
+    // cannot circulate.
     if (notice.released())
     {
-        tell_listeners(state, notice, peer, out);
+        notify_listeners(state, notice, peer, out);
     }
 }
 
--- a/libs/agent_core/src/transfer_flow.cpp
+++ b/libs/agent_core/src/transfer_flow.cpp
@@ -10,25 +10,26 @@
 
 using std::chrono::milliseconds;
 
-// How long a source that will not give a chunk is not asked for it again.
-constexpr milliseconds decline_time{10'000};
+// How long a source that declined a chunk is not asked for it again.
+constexpr milliseconds decline_duration{10'000};
 
-// Other bytes from the origin than the manifest names, per chunk, before the
-// version is refused, and for how long at the least: a damaged transfer passes
-// within seconds, a damaged store does not. Refused sooner, a version was given
-// up for good after three bad copies within 30 ms.
-constexpr std::uint32_t most_corrupt_draws = 3;
-constexpr milliseconds least_corrupt_time{10'000};
+// A version is refused when the origin returned wrong bytes for one chunk this
+// often and over at least this time. A damaged transfer passes within seconds,
+// damaged storage does not. Without the minimum time a version was abandoned
+// for good after three bad copies within 30 ms.
+constexpr std::uint32_t max_corrupt_fetches = 3;
+constexpr milliseconds min_corrupt_duration{10'000};
 
 bool is_persistent(corrupt_record const& record, base::time_point now)
 {
-    return record.draws >= most_corrupt_draws &&
-           now - record.first >= least_corrupt_time;
+    return record.fetches >= max_corrupt_fetches &&
+           now - record.first >= min_corrupt_duration;
 }
 
-// Other agents that must refuse a version before one that has not seen the
-// wrong bytes itself does: one agent alone cannot stop a release.
-constexpr std::size_t refusals_believed = 2;
+// Number of other agents that must refuse a version before an agent that has
+// not received wrong bytes itself refuses it: a single agent cannot stop a
+// release.
+constexpr std::size_t min_refusing_agents = 2;
 
 void finish_transfer(
     state& state, std::string const& digest, base::time_point now, actions& out)
@@ -38,17 +39,17 @@
     {
         drop_pending(state, transfer, transfer.pending.begin()->first);
     }
-    auto const took =
+    auto const elapsed =
         std::chrono::duration_cast<milliseconds>(now - transfer.started);
     out.push_back(core::write_log{
         kernel::event_id::transfer_finished,
-        {{"digest", digest}, {"milliseconds", took.count()}}});
+        {{"digest", digest}, {"milliseconds", elapsed.count()}}});
     state.weights.transfers.erase(digest);
 }
 
-// Keeps a chunk that came from a peer or, with an empty name, from the origin;
-// the error when it is not what the manifest names.
-base::result<void> keep_chunk(
+// Stores a chunk that arrived from a peer or the origin; fails when its bytes
+// do not match the manifest.
+base::result<void> store_chunk(
     state& state,
     transfer& transfer,
     std::uint32_t index,
@@ -71,7 +72,7 @@
     }
     else
     {
-        ask_for_more(state, transfer, now, out);
+        request_missing_chunks(state, transfer, now, out);
     }
     return boost::outcome_v2::success();
 }
@@ -82,12 +83,12 @@
     std::size_t bytes,
     base::time_point now)
 {
-    // The wait for a chunk that the source did not hold yet says nothing about
-    // its rate.
+    // Time spent waiting for a chunk that the source did not hold yet says
+    // nothing about its rate.
     if (pending.held_since)
     {
         weights::note_delivered(
-            state.weights.book, pending.agent,
+            state.weights.peer_table, pending.agent,
             static_cast<std::uint32_t>(bytes), now - *pending.held_since);
     }
 }
@@ -107,22 +108,22 @@
         return;
     }
     drop_pending(state, transfer, index);
-    transfer.declined[index][peer] = now + decline_time;
+    transfer.declined[index][peer] = now + decline_duration;
     auto const kind = base::kind_named(reply.error());
     out.push_back(core::count_retry{kind});
     if (kind == base::error_kind::bad_digest)
     {
         transfer.refusals.insert(peer);
-        if (transfer.refusals.size() >= refusals_believed)
+        if (transfer.refusals.size() >= min_refusing_agents)
         {
             refuse_version(state, transfer, out);
         }
     }
 }
 
-// Sources that have gone silent, and chunks that a source holds but does not
-// deliver.
-void expire(
+// Drops requests to sources that are unresponsive or that hold a chunk but do
+// not deliver it in time.
+void drop_stalled_requests(
     state& state, transfer& transfer, base::time_point now, actions& out)
 {
     auto const version = state.weights.store.versions.find(transfer.digest);
@@ -132,7 +133,7 @@
     }
     auto const chunk_bytes = version->second.description.chunk_bytes;
     std::set<std::string> failed;
-    std::set<std::string> silent_agents;
+    std::set<std::string> unresponsive_agents;
     std::vector<std::uint32_t> dropped;
     for (auto const& [index, pending] : transfer.pending)
     {
@@ -140,19 +141,19 @@
         {
             continue;
         }
-        auto const silent =
-            weights::is_silent(state.weights.book, pending.agent, now);
+        auto const unresponsive =
+            weights::is_silent(state.weights.peer_table, pending.agent, now);
         auto const late =
             pending.held_since &&
             now - *pending.held_since >
                 weights::delivery_timeout(
-                    state.weights.book, pending.agent, chunk_bytes);
-        if (silent || late || failed.contains(pending.agent))
+                    state.weights.peer_table, pending.agent, chunk_bytes);
+        if (unresponsive || late || failed.contains(pending.agent))
         {
             failed.insert(pending.agent);
-            if (silent)
+            if (unresponsive)
             {
-                silent_agents.insert(pending.agent);
+                unresponsive_agents.insert(pending.agent);
             }
             dropped.push_back(index);
         }
@@ -164,13 +165,13 @@
     }
     for (auto const& agent : failed)
     {
-        if (silent_agents.contains(agent))
+        if (unresponsive_agents.contains(agent))
         {
-            weights::note_unresponsive(state.weights.book, agent, now);
+            weights::note_unresponsive(state.weights.peer_table, agent, now);
         }
         else
         {
-            weights::avoid_after_failure(state.weights.book, agent, now);
+            weights::avoid_after_failure(state.weights.peer_table, agent, now);
         }
     }
 }
@@ -185,13 +186,13 @@
         state.weights.transfers.emplace(digest, std::move(added)).first->second;
     out.push_back(core::write_log{
         kernel::event_id::transfer_started, {{"digest", digest}}});
-    // Verified chunks of an earlier transfer are used again.
+    // Verified chunks of an earlier transfer are reused.
     if (state.weights.store.versions.contains(digest))
     {
         begin_chunks(state, transfer, now, out);
         return;
     }
-    ask_for_manifest(state, transfer, now, out);
+    request_manifest(state, transfer, now, out);
 }
 
 void stop_unwanted_transfers(state& state, actions& out)
@@ -223,17 +224,19 @@
     }
 }
 
-// A connection that is only being made takes no frames: asks again with the
-// next tick rather than after the usual time, which a burst would begin with.
+// Handles a manifest request that could not be sent. A connection that is still
+// being established takes no frames, so the request is repeated with the next
+// tick instead of after the usual interval, which would delay the start of a
+// burst.
 void retry_manifest(
     state& state, core::send_failed const& failed, base::time_point now)
 {
     auto const& digest = failed.envelope.manifest_request().digest();
     auto const found = state.weights.transfers.find(digest);
     if (found != state.weights.transfers.end() &&
-        !weights::note_unreachable(state.weights.book, failed.peer, now))
+        !weights::note_unreachable(state.weights.peer_table, failed.peer, now))
     {
-        found->second.manifest_asked = {};
+        found->second.manifest_requested = {};
     }
 }
 
@@ -242,9 +245,9 @@
 void begin_chunks(
     state& state, transfer& transfer, base::time_point now, actions& out)
 {
-    transfer.described = now;
+    transfer.manifest_received = now;
     transfer.last_chunk = now;
-    ask_for_more(state, transfer, now, out);
+    request_missing_chunks(state, transfer, now, out);
 }
 
 void refuse_version(state& state, transfer& transfer, actions& out)
@@ -257,7 +260,7 @@
     weights::remove_version(state.weights.store, transfer.digest);
     out.push_back(core::report_error{
         {base::error_kind::bad_digest,
-         "refused: the origin's bytes are not those of version " +
+         "version refused: bytes from the origin do not match digest " +
              transfer.digest},
         {{"refused", transfer.digest}}});
     for (auto const& request : weights::take_waiting(
@@ -278,12 +281,12 @@
     {
         transfer.sources.clear();
     }
-    auto const* const part = own_part(state);
-    if (part == nullptr || !state.self.service.empty())
+    auto const* const plan_entry = own_plan_entry(state);
+    if (plan_entry == nullptr || !state.self.service.empty())
     {
         return;
     }
-    for (auto const& model : part->models)
+    for (auto const& model : plan_entry->models)
     {
         if (!weights::is_complete(state.weights.store, model.digest) &&
             !state.weights.transfers.contains(model.digest))
@@ -310,7 +313,7 @@
     if (!reply.error().empty())
     {
         on_declined(state, transfer, peer, reply, now, out);
-        ask_for_more(state, transfer, now, out);
+        request_missing_chunks(state, transfer, now, out);
         return;
     }
     auto const index = reply.index();
@@ -324,25 +327,27 @@
     {
         note_rate(state, pending->second, reply.data().size(), now);
     }
-    // A chunk that was given up and comes all the same is as good as any.
-    auto const kept =
-        keep_chunk(state, transfer, index, reply.data(), now, out);
-    if (kept)
+    // A chunk that arrives after its request was abandoned is used all the
+    // same.
+    auto const stored =
+        store_chunk(state, transfer, index, reply.data(), now, out);
+    if (stored)
     {
         return;
     }
-    // Failure: a peer sends corrupted chunks. The digest tells; without blame
-    // the same peer would be asked again and hold up the version for good.
+    // Failure: a peer sends corrupted chunks, which their digests reveal. If
+    // the peer were not blamed, it would be asked again and could block the
+    // version for good.
     out.push_back(core::write_log{
         kernel::event_id::chunk_refused,
         {{"source", peer}, {"digest", reply.digest()}, {"chunk", index}}});
-    out.push_back(core::report_error{kept.error(), {{"source", peer}}});
-    weights::blame(state.weights.book, peer, now);
+    out.push_back(core::report_error{stored.error(), {{"source", peer}}});
+    weights::blame(state.weights.peer_table, peer, now);
     if (awaited)
     {
         drop_pending(state, transfer, index);
     }
-    ask_for_more(state, transfer, now, out);
+    request_missing_chunks(state, transfer, now, out);
 }
 
 void on_chunk_have(
@@ -371,7 +376,7 @@
 void on_origin_chunk(
     state& state, origin_chunk const& reply, base::time_point now, actions& out)
 {
-    auto const end_draw = [&](weights::origin_fetch_outcome outcome)
+    auto const end_fetch = [&](weights::origin_fetch_outcome outcome)
     {
         weights::note_origin_fetch_ended(
             state.weights.origin, outcome, state.random, now);
@@ -379,13 +384,13 @@
     auto const found = state.weights.transfers.find(reply.digest);
     if (found == state.weights.transfers.end() || found->second.refused)
     {
-        end_draw(outcome_of(reply.failure));
+        end_fetch(outcome_of(reply.failure));
         return;
     }
     auto& transfer = found->second;
     if (reply.failure)
     {
-        end_draw(outcome_of(reply.failure));
+        end_fetch(outcome_of(reply.failure));
         out.push_back(core::report_error{*reply.failure, {}});
         out.push_back(core::count_retry{reply.failure->kind});
         drop_pending(state, transfer, reply.index);
@@ -394,23 +399,24 @@
     out.push_back(core::count_metric{
         "foxtailvale_weights_drawn_bytes_total",
         static_cast<double>(reply.bytes.size())});
-    auto const kept =
-        keep_chunk(state, transfer, reply.index, reply.bytes, now, out);
-    // Wrong bytes are a failed draw: the next waits, so that a passing fault
-    // does not use up the origin's link.
-    end_draw(
-        kept ? weights::origin_fetch_outcome::good : weights::origin_fetch_outcome::failed);
-    if (kept)
+    auto const stored =
+        store_chunk(state, transfer, reply.index, reply.bytes, now, out);
+    // Wrong bytes count as a failed fetch and delay the next one, so that a
+    // transient fault does not use up the origin's link.
+    end_fetch(
+        stored ? weights::origin_fetch_outcome::good
+               : weights::origin_fetch_outcome::failed);
+    if (stored)
     {
         return;
     }
     out.push_back(core::report_error{
-        kept.error(), {{"source", "origin"}, {"chunk", reply.index}}});
+        stored.error(), {{"source", "origin"}, {"chunk", reply.index}}});
     drop_pending(state, transfer, reply.index);
-    auto const added =
-        transfer.corrupt_draws.try_emplace(reply.index, corrupt_record{0, now});
+    auto const added = transfer.corrupt_fetches.try_emplace(
+        reply.index, corrupt_record{0, now});
     auto& record = added.first->second;
-    ++record.draws;
+    ++record.fetches;
     if (is_persistent(record, now))
     {
         refuse_version(state, transfer, out);
@@ -427,17 +433,18 @@
         }
         if (!state.weights.store.versions.contains(digest))
         {
-            ask_for_manifest(state, transfer, now, out);
+            request_manifest(state, transfer, now, out);
             continue;
         }
-        // An importer that the origin fails may be the only one: another may
-        // hold by now what was handed on to it.
+        // If the origin fails this agent, it may be the only one that fetches a
+        // chunk. Another agent that took over the fetch may hold the chunk by
+        // now.
         if (weights::suspects_origin(state.weights.origin, now))
         {
-            ask_for_holdings(state, transfer, now, out);
+            request_holdings(state, transfer, now, out);
         }
-        expire(state, transfer, now, out);
-        ask_for_more(state, transfer, now, out);
+        drop_stalled_requests(state, transfer, now, out);
+        request_missing_chunks(state, transfer, now, out);
     }
 }
 
@@ -460,9 +467,10 @@
         return;
     }
     drop_pending(state, found->second, request.index());
-    if (weights::note_unreachable(state.weights.book, failed.peer, now))
+    if (weights::note_unreachable(state.weights.peer_table, failed.peer, now))
     {
-        weights::avoid_after_failure(state.weights.book, failed.peer, now);
+        weights::avoid_after_failure(
+            state.weights.peer_table, failed.peer, now);
     }
 }
 
--- a/libs/agent_core/src/upload_flow.cpp
+++ b/libs/agent_core/src/upload_flow.cpp
@@ -8,10 +8,12 @@
 namespace
 {
 
-// Those who wait hear twice a second that this agent lives and what it holds.
+// Waiting agents are told twice a second that this agent is alive and which
+// chunks it holds.
 constexpr std::chrono::milliseconds progress_interval{500};
 
-// The swarm baseline learns by this alone who holds what.
+// In the swarm baseline, agents learn only from this gossip which agent holds
+// which chunk.
 constexpr std::chrono::milliseconds gossip_interval{100};
 
 transfer const* find_transfer(state const& state, std::string const& digest)
@@ -33,10 +35,11 @@
     out.push_back(std::move(message));
 }
 
-// Failure: the origin has long failed this importer and nobody below gets the
-// chunk, though another agent's way to the origin may be open. Handing its
-// waiters on lets the next in the chunk's order try.
-void hand_on_waiters(state& state, base::time_point now, actions& out)
+// Failure: the origin has failed this agent for a long time, so no agent that
+// waits for it gets the chunk, although another agent may be able to reach the
+// origin. Declining the waiting requests lets the next agent in the chunk's
+// order try.
+void decline_stuck_requests(state& state, base::time_point now, actions& out)
 {
     if (!weights::should_decline(state.weights.origin))
     {
@@ -101,25 +104,26 @@
     base::time_point now,
     actions& out)
 {
-    weights::upload const asked{peer, request.digest(), request.index()};
-    auto const* const transfer = find_transfer(state, asked.digest);
+    weights::upload const requested{peer, request.digest(), request.index()};
+    auto const* const transfer = find_transfer(state, requested.digest);
     if (transfer != nullptr && transfer->refused)
     {
-        decline_chunk(asked, base::error_kind::bad_digest, out);
+        decline_chunk(requested, base::error_kind::bad_digest, out);
         return;
     }
-    if (weights::find_chunk(state.weights.store, asked.digest, asked.index))
+    if (weights::find_chunk(
+            state.weights.store, requested.digest, requested.index))
     {
-        weights::make_ready(state.weights.uploads, asked);
+        weights::make_ready(state.weights.uploads, requested);
         send_uploads(state, now, out);
         return;
     }
-    // A swarm asks whoever may hold it, so agents could wait for each other in
-    // a circle; only the forest's order rules that out.
+    // In a swarm, agents request chunks from any possible holder and could wait
+    // for each other in a cycle; only the order of the forest rules that out.
     auto const may_wait = state.weights.how == distribution::forest;
-    if (!may_wait || !weights::wait_for_chunk(state.weights.uploads, asked))
+    if (!may_wait || !weights::wait_for_chunk(state.weights.uploads, requested))
     {
-        decline_chunk(asked, base::error_kind::not_found, out);
+        decline_chunk(requested, base::error_kind::not_found, out);
     }
 }
 
@@ -129,17 +133,17 @@
     auto const interval = state.weights.how == distribution::swarm
                               ? gossip_interval
                               : progress_interval;
-    if (now - state.weights.last_progress_note < interval)
+    if (now - state.weights.last_progress_sent < interval)
     {
         return;
     }
-    state.weights.last_progress_note = now;
+    state.weights.last_progress_sent = now;
     if (state.weights.how == distribution::swarm)
     {
         gossip_holdings(state, out);
         return;
     }
-    hand_on_waiters(state, now, out);
+    decline_stuck_requests(state, now, out);
     for (auto const& [digest, peers] :
          weights::waiting_peers(state.weights.uploads))
     {
--- a/libs/agent_core/src/weights_parts.cpp
+++ b/libs/agent_core/src/weights_parts.cpp
@@ -12,7 +12,7 @@
 
 } // namespace
 
-control::plan_endpoint const* own_part(state const& state)
+control::plan_endpoint const* own_plan_entry(state const& state)
 {
     auto const found = state.control.plans.find(state.self.failure_domain);
     return found == state.control.plans.end()
@@ -22,11 +22,11 @@
 
 bool is_assigned(state const& state, std::string const& digest)
 {
-    auto const* const part = own_part(state);
-    return part != nullptr &&
+    auto const* const plan_entry = own_plan_entry(state);
+    return plan_entry != nullptr &&
            std::ranges::find(
-               part->models, digest, &control::assigned_model::digest) !=
-               part->models.end();
+               plan_entry->models, digest, &control::assigned_model::digest) !=
+               plan_entry->models.end();
 }
 
 void connect_source(
@@ -49,7 +49,8 @@
     out.push_back(std::move(message));
 }
 
-weights::origin_fetch_outcome outcome_of(std::optional<base::error> const& failure)
+weights::origin_fetch_outcome
+outcome_of(std::optional<base::error> const& failure)
 {
     if (!failure)
     {
--- a/libs/agent_core/src/weights_parts.hpp
+++ b/libs/agent_core/src/weights_parts.hpp
@@ -3,79 +3,85 @@
 
 #include "flows.hpp"
 
-// What the flows of weights have in common: transfers, manifests, uploads and
-// orders to the engine.
+// Functions shared by the flows that handle weights: transfers, manifests,
+// uploads and orders to the engine.
 namespace foxtailvale::agent_core
 {
 
-// The endpoint's part of the plan of its domain.
-control::plan_endpoint const* own_part(state const& state);
+// This endpoint's entry in the plan of its domain; null when it has none.
+control::plan_endpoint const* own_plan_entry(state const& state);
 
-// Whether the plan gives the version to this agent.
+// Whether the plan assigns the version to this agent.
 bool is_assigned(state const& state, std::string const& digest);
 
-// Connects to a peer once.
+// Connects to the peer unless that was done before.
 void connect_source(
     state& state, weights::chunk_source const& source, actions& out);
 
-// Sends a refusal of one chunk.
+// Declines a request for one chunk.
 void decline_chunk(
     weights::upload const& request, base::error_kind reason, actions& out);
 
-// The chunks of a version that this agent holds, one bit each.
+// Bitmap of the chunks of a version that this agent holds: one bit each, least
+// significant bit first; empty for an unknown version.
 std::string held_bitmap(state const& state, std::string const& digest);
 std::vector<bool> read_bitmap(std::string const& bits);
 
-// How a draw ended, from its error; good when there is none.
-weights::origin_fetch_outcome outcome_of(std::optional<base::error> const& failure);
+// Outcome of a fetch from the origin, derived from its error; good without one.
+weights::origin_fetch_outcome
+outcome_of(std::optional<base::error> const& failure);
 
-// Asks for a manifest that is still missing, when it is time.
-void ask_for_manifest(
+// Requests the missing manifest from the origin and from neighbours once each
+// is due.
+void request_manifest(
     state& state, transfer& transfer, base::time_point now, actions& out);
 
-// Asks neighbours what they hold of a version whose manifest is there.
-void ask_for_holdings(
+// Asks neighbours which chunks they hold of a version whose manifest has
+// arrived.
+void request_holdings(
     state& state, transfer& transfer, base::time_point now, actions& out);
 
-// The manifest is there: asks for the first chunks.
+// Starts requesting chunks after the manifest has arrived.
 void begin_chunks(
     state& state, transfer& transfer, base::time_point now, actions& out);
 
-// Gives up a version whose bytes at the origin are wrong and tells those who
-// wait for it.
+// Refuses a version whose bytes at the origin do not match its digest, and
+// declines the requests of agents that wait for its chunks.
 void refuse_version(state& state, transfer& transfer, actions& out);
 
-// Whether this agent's engine may leave the version that it serves for the
-// wanted one now; asks those whose move it waits for.
-bool may_move(
+// Whether this agent's engine may now switch from the version it serves to the
+// wanted one. Queries the agents that must switch first.
+bool may_activate(
     state& state,
     control::assigned_model const& wanted,
     base::time_point now,
     actions& out);
 
-// Sends what may be sent.
+// Sends the queued chunks that the upload limits allow.
 void send_uploads(state& state, base::time_point now, actions& out);
 
-// A source by one of the baselines that the forest is measured against;
-// nothing when there is none for now.
+// Chooses a source by one of the baseline strategies that the forest is
+// measured against; nothing when there is none at the moment.
 std::optional<weights::chunk_source>
 baseline_source(state& state, transfer const& transfer, std::uint32_t index);
 
-// Tells some agents at random what this one holds, as a swarm does.
+// Sends the bitmap of held chunks to some agents chosen at random (swarm
+// baseline).
 void gossip_holdings(state& state, actions& out);
 
-// Whether a bitmap has the chunk.
+// Whether the bitmap contains the chunk.
 bool holds(std::vector<bool> const& held, std::uint32_t index);
 
-// A chunk that was asked for is no longer awaited.
+// Stops waiting for a requested chunk and releases its slot at the source.
 void drop_pending(state& state, transfer& transfer, std::uint32_t index);
 
-// Asks for missing chunks, each from its best source, as far as the limits go.
-void ask_for_more(
+// Requests missing chunks, each from its best source, within the limits.
+void request_missing_chunks(
     state& state, transfer& transfer, base::time_point now, actions& out);
 
-// The source from which the plans and what is known now would have a chunk
-// drawn; nothing when the plan does not give the version to this agent.
+// The source for a chunk according to the plans and the current observations;
+// nothing when the plan does not assign the version to this agent, or while
+// plans of other domains of its region are awaited.
 std::optional<weights::chunk_source> best_source(
     state const& state,
     transfer& transfer,
