--- a/libs/agent_core/tests/activation_tests.cpp
+++ b/libs/agent_core/tests/activation_tests.cpp
@@ -13,7 +13,8 @@
 
 std::vector<std::uint64_t> const seeds{1, 2, 3};
 
-// A domain of six that serves one version, with the next one at the origin.
+// A domain of six agents that serve one version; the next version is available
+// at the origin.
 struct rollout
 {
     fake_version before = make_version('x', 4);
@@ -44,9 +45,10 @@
         this->fleet.assign({{"m", this->after.digest}});
     }
 
-    // Sends a request to an agent; the error that it was refused with.
-    std::string
-    ask(std::string const& agent,
+    // Sends a request to an agent and returns the error of its refusal; empty
+    // when it was accepted.
+    std::string send_run(
+        std::string const& agent,
         fake_version const& version,
         std::uint64_t number)
     {
@@ -56,7 +58,7 @@
         run.mutable_target()->set_digest(version.digest);
         core::message_received message{"entry", {}};
         *message.envelope.mutable_run() = run;
-        for (auto const& next : this->fleet.give(agent, message))
+        for (auto const& next : this->fleet.deliver(agent, message))
         {
             if (auto const* const sent = std::get_if<core::send_message>(&next))
             {
@@ -72,8 +74,9 @@
 
 } // namespace
 
-// A version replaces another while callers are served. If all engines moved at
-// once nobody would be served; a third may move, the rest serve.
+// A version replaces another while callers are served. If all engines switched
+// at once, no caller would be served; one third may switch while the rest
+// serve.
 TEST(activation, a_rollout_leaves_two_thirds_serving)
 {
     for (auto const seed : seeds)
@@ -81,11 +84,11 @@
         rollout test(seed);
         test.replace();
         ASSERT_TRUE(test.serves_within(seconds(20), test.after)) << seed;
-        EXPECT_EQ(test.fleet.most_loading, 2) << seed;
+        EXPECT_EQ(test.fleet.max_loading, 2) << seed;
     }
 }
 
-// The release declares that five of six replicas must serve.
+// The release declares that five of six replicas must keep serving.
 TEST(activation, a_rollout_keeps_the_declared_floor)
 {
     for (auto const seed : seeds)
@@ -98,12 +101,12 @@
         }
         test.replace();
         ASSERT_TRUE(test.serves_within(seconds(20), test.after)) << seed;
-        EXPECT_EQ(test.fleet.most_loading, 1) << seed;
+        EXPECT_EQ(test.fleet.max_loading, 1) << seed;
     }
 }
 
-// A VM dies in the middle of a roll-out, before its own move. Those behind it
-// wait for its move no longer than it takes to see that it is gone.
+// A VM dies during a roll-out, before its own switch. The agents after it must
+// wait only until it is found to be unresponsive.
 TEST(activation, a_dead_agent_does_not_stop_the_rollout)
 {
     for (auto const seed : seeds)
@@ -112,28 +115,28 @@
         test.fleet.kill("a101");
         test.replace();
         ASSERT_TRUE(test.serves_within(seconds(40), test.after)) << seed;
-        EXPECT_LE(test.fleet.most_loading, 2) << seed;
+        EXPECT_LE(test.fleet.max_loading, 2) << seed;
     }
 }
 
-// A request runs when the new version is whole. The engine may move only after
-// its end, and until then nothing new may begin beside it: a technician would
+// A request is running when the new version is complete. The engine may switch
+// only after its end, and until then no new request may start: its caller would
 // get an answer that began on one version and ended on another.
 TEST(activation, an_engine_moves_between_requests)
 {
     rollout test(1);
-    ASSERT_EQ(test.ask("a100", test.before, 1), "");
+    ASSERT_EQ(test.send_run("a100", test.before, 1), "");
     test.replace();
     test.fleet.run(seconds(3));
     EXPECT_EQ(test.fleet.engines["a100"].loaded["m"], test.before.digest);
-    EXPECT_EQ(test.ask("a100", test.before, 2), "version_mismatch");
-    test.fleet.give(
+    EXPECT_EQ(test.send_run("a100", test.before, 2), "version_mismatch");
+    test.fleet.deliver(
         "a100", attempt_output{{1, 0}, 200, "text/plain", "x", true, {}});
     ASSERT_TRUE(test.serves_within(seconds(20), test.after));
 }
 
-// The engine has been ordered and has not yet said what it serves. A request
-// for the old version would be answered by the new one.
+// The engine has been sent an order and has not yet reported what it serves. A
+// request for the old version would be answered by the new one.
 TEST(activation, the_gate_is_closed_while_an_order_is_under_way)
 {
     rollout test(1);
@@ -145,14 +148,15 @@
         {
             return test.fleet.engines["a100"].orders == 2;
         }));
-    EXPECT_EQ(test.ask("a100", test.before, 1), "version_mismatch");
-    EXPECT_EQ(test.ask("a100", test.after, 2), "version_mismatch");
+    EXPECT_EQ(test.send_run("a100", test.before, 1), "version_mismatch");
+    EXPECT_EQ(test.send_run("a100", test.after, 2), "version_mismatch");
     ASSERT_TRUE(test.serves_within(seconds(30), test.after));
-    EXPECT_EQ(test.ask("a100", test.after, 3), "");
+    EXPECT_EQ(test.send_run("a100", test.after, 3), "");
 }
 
-// The answer to a load order is lost after its effect. The engine's report
-// tells; the agent neither waits for the answer nor orders again.
+// The answer to a load order is lost after the order took effect. The agent
+// must learn this from the engine's report, without waiting for the answer or
+// ordering again.
 TEST(activation, a_lost_answer_to_an_order_is_read_from_the_report)
 {
     for (auto const seed : seeds)
@@ -169,7 +173,8 @@
 }
 
 // An engine that checks fencing numbers has seen a newer one than the agent's
-// plan carries. The agent must not hammer it, and succeeds with a newer plan.
+// plan has. The agent must not flood it with orders, and succeeds with a newer
+// plan.
 TEST(activation, an_old_fencing_number_is_refused_and_retried_slowly)
 {
     rollout test(1);
@@ -182,9 +187,9 @@
     ASSERT_TRUE(test.serves_within(seconds(20), test.after));
 }
 
-// An agent is replaced while its engine goes on, one that ignores fencing
-// numbers. The first plan it hears is an old one, from an entry that lagged;
-// obeyed, the engine would go back to old weights.
+// An agent is replaced while its engine, which ignores fencing numbers, keeps
+// running. The agent's first plan is an old one from an entry that lagged; if
+// it were followed, the engine would go back to old weights.
 TEST(activation, a_new_agent_waits_for_plans_to_settle)
 {
     rollout test(1);
@@ -200,18 +205,19 @@
     EXPECT_TRUE(test.fleet.all_serve(test.after.digest));
 }
 
-// A withdrawn model's memory is freed, but only after its last request.
+// A withdrawn model is unloaded to free its memory, but only after its last
+// request.
 TEST(activation, a_withdrawn_model_is_unloaded_after_its_last_request)
 {
     rollout test(1);
-    ASSERT_EQ(test.ask("a100", test.before, 1), "");
+    ASSERT_EQ(test.send_run("a100", test.before, 1), "");
     test.fleet.assign({});
     test.fleet.run(seconds(3));
     EXPECT_TRUE(test.fleet.engines["a100"].loaded.contains("m"));
     EXPECT_EQ(test.fleet.core("a100").weights.store.versions.size(), 1U);
     EXPECT_FALSE(test.fleet.engines["a101"].loaded.contains("m"));
     EXPECT_TRUE(test.fleet.core("a101").weights.store.versions.empty());
-    test.fleet.give(
+    test.fleet.deliver(
         "a100", attempt_output{{1, 0}, 200, "text/plain", "x", true, {}});
     test.fleet.run(seconds(3));
     EXPECT_FALSE(test.fleet.engines["a100"].loaded.contains("m"));
--- a/libs/agent_core/tests/burst_tests.cpp
+++ b/libs/agent_core/tests/burst_tests.cpp
@@ -20,7 +20,7 @@
 std::vector<fake_domain> const three_regions{
     {"a", "ra", 8}, {"b", "rb", 8}, {"c", "rc", 8}};
 
-// A fleet in which a burst of one version has begun.
+// A fleet in which the transfer of one version to all agents has begun.
 struct burst
 {
     fake_version version = make_version('x', chunks);
@@ -42,20 +42,22 @@
             {
                 return this->fleet.all_hold(this->version.digest);
             });
-        // docs/design/weights.md reads these with --gtest_output=json.
+        // docs/design/weights.md takes its figures from these properties,
+        // through --gtest_output=json.
         auto const seed = std::to_string(this->number);
         testing::Test::RecordProperty(
             "virtual_ms_" + seed,
             std::to_string(this->fleet.elapsed().count()));
         testing::Test::RecordProperty(
             "draws_" + seed,
-            std::to_string(this->fleet.draws[this->version.digest]));
+            std::to_string(this->fleet.chunk_fetches[this->version.digest]));
         return finished;
     }
 
     double origin_copies()
     {
-        return static_cast<double>(this->fleet.draws[this->version.digest]) /
+        return static_cast<double>(
+                   this->fleet.chunk_fetches[this->version.digest]) /
                chunks;
     }
 };
@@ -69,7 +71,7 @@
         burst test(three_regions, seed);
         ASSERT_TRUE(test.finishes_within(seconds(10))) << seed;
         EXPECT_EQ(test.origin_copies(), 3) << seed;
-        // A request and a reply for each chunk, and a few notes.
+        // A request and a reply for each chunk, and a few progress messages.
         EXPECT_LT(test.fleet.messages, 24U * chunks * 3) << seed;
     }
     burst two({{"a", "r", 4}, {"b", "r", 4}, {"c", "r", 4}, {"d", "s", 6}}, 1);
@@ -77,9 +79,9 @@
     EXPECT_EQ(two.origin_copies(), 2);
 }
 
-// Four domains of a region hear of each other's plans a second late. Until
-// then each could take itself for the only one, and the origin's link would
-// carry a copy for each domain.
+// Four domains of a region get each other's plans a second late. Until then
+// each could consider itself the only one, and the origin would send a copy per
+// domain.
 TEST(bursts, late_plans_of_other_domains_cost_no_copies)
 {
     for (auto const seed : seeds)
@@ -104,9 +106,10 @@
     }
 }
 
-// The importer of some chunks dies with draws under way. Those below it would
-// wait for ever; they notice its silence, and one other draws its chunks.
-TEST(bursts, an_importer_dies_mid_chunk)
+// The agent that fetches some chunks from the origin dies during a fetch. The
+// agents that wait for it must notice that it is unresponsive, and one other
+// agent fetches its chunks.
+TEST(bursts, an_origin_fetcher_dies_mid_chunk)
 {
     for (auto const seed : seeds)
     {
@@ -118,10 +121,10 @@
     }
 }
 
-// Half the VMs that pass a chunk on die at once, as when a rack goes. The
-// others find living sources before them; the origin's link, which carries
-// four copies, must not be asked for dozens.
-TEST(bursts, half_the_inner_agents_die)
+// Half the VMs that relay chunks die at once, as when a rack fails. The others
+// must switch to live sources; the origin's link, which can carry four copies,
+// must not be asked for dozens.
+TEST(bursts, half_the_relaying_agents_die)
 {
     for (auto const seed : seeds)
     {
@@ -137,9 +140,9 @@
     }
 }
 
-// One VM's uplink is so slow that each of its chunks takes seconds. Those
-// below it must not wait for all of them.
-TEST(bursts, a_slow_parent_is_left_for_others)
+// One VM's uplink is so slow that each chunk takes seconds. The agents that get
+// chunks from it must not wait for all of them.
+TEST(bursts, a_slow_source_is_replaced)
 {
     for (auto const seed : seeds)
     {
@@ -150,21 +153,21 @@
     }
 }
 
-// Frames with chunks from one VM no longer arrive, small ones do: its link is
-// stalled. It looks alive, so only the missing deliveries tell.
-TEST(bursts, a_stalled_link_is_left_for_others)
+// Frames with chunks from one VM no longer arrive, small frames do: its link is
+// stalled. The VM looks alive, so only the missing deliveries reveal the fault.
+TEST(bursts, a_source_with_a_stalled_link_is_replaced)
 {
     for (auto const seed : seeds)
     {
         burst test(three_regions, seed);
-        test.fleet.mute_chunks = {"a102"};
+        test.fleet.dropping_chunks = {"a102"};
         ASSERT_TRUE(test.finishes_within(seconds(60))) << seed;
         EXPECT_LE(test.origin_copies(), 4.0) << seed;
     }
 }
 
-// A VM's memory is bad and every chunk that it passes on is wrong. Nobody may
-// keep one, and nobody may go on asking it.
+// A VM has faulty memory and corrupts every chunk it relays. No agent may store
+// such a chunk or go on requesting chunks from it.
 TEST(bursts, a_corrupting_peer_is_blamed_and_avoided)
 {
     for (auto const seed : seeds)
@@ -176,62 +179,65 @@
             test.fleet.errors, base::error_kind::bad_digest,
             &base::error::kind);
         EXPECT_GT(refused, 0) << seed;
-        // At most what was outstanding when each of the others found out.
+        // At most the requests that were outstanding when each of the other
+        // agents detected the fault.
         EXPECT_LE(refused, 7 * 8) << seed;
         EXPECT_LE(test.origin_copies(), 4.0) << seed;
     }
 }
 
-// A VM says that it holds all chunks and delivers none.
-TEST(bursts, a_lying_peer_is_left_for_others)
+// A VM claims to hold all chunks and delivers none.
+TEST(bursts, a_peer_that_claims_chunks_falsely_is_replaced)
 {
     for (auto const seed : seeds)
     {
         burst test(three_regions, seed);
-        test.fleet.lying = {"b105"};
+        test.fleet.claiming_all = {"b105"};
         ASSERT_TRUE(test.finishes_within(seconds(60))) << seed;
         EXPECT_LE(test.origin_copies(), 4.0) << seed;
     }
 }
 
-// Two chunks come corrupted from the origin. They are drawn once more each.
-TEST(bursts, chunks_corrupted_on_the_way_are_drawn_again)
+// Two chunks arrive corrupted from the origin. Each is fetched once more.
+TEST(bursts, chunks_corrupted_in_transit_are_fetched_again)
 {
     for (auto const seed : seeds)
     {
         burst test(three_regions, seed);
-        test.fleet.corrupt_draws = 2;
+        test.fleet.corrupt_fetches_left = 2;
         ASSERT_TRUE(test.finishes_within(seconds(20))) << seed;
-        EXPECT_EQ(test.fleet.draws[test.version.digest], 3 * chunks + 2);
+        EXPECT_EQ(
+            test.fleet.chunk_fetches[test.version.digest], 3 * chunks + 2);
     }
 }
 
-// The origin sends sixty damaged chunks in a row and is whole again. An agent
-// that had drawn three of them within 30 ms gave the version up for good, and
-// its replicas never came.
-TEST(bursts, a_passing_fault_of_the_origin_refuses_nothing)
+// The origin sends sixty damaged chunks in a row and then recovers. An agent
+// that fetched three of them within 30 ms abandoned the version for good, and
+// its replicas never became available.
+TEST(bursts, a_transient_origin_fault_refuses_nothing)
 {
     for (auto const seed : seeds)
     {
         burst test(three_regions, seed);
         constexpr std::uint32_t damaged = 60;
-        test.fleet.corrupt_draws = damaged;
+        test.fleet.corrupt_fetches_left = damaged;
         ASSERT_TRUE(test.finishes_within(minutes(2))) << seed;
-        // One copy a region, the damaged draws, and no more than one copy
-        // beside them while agents take each other's turns.
-        EXPECT_LE(test.fleet.draws[test.version.digest], 4 * chunks + damaged)
+        // One copy per region, the damaged fetches, and at most one more copy
+        // while agents fetch chunks in place of each other.
+        EXPECT_LE(
+            test.fleet.chunk_fetches[test.version.digest], 4 * chunks + damaged)
             << seed;
     }
 }
 
-// The origin's copy itself is damaged. Drawing it for ever would fill the
-// link; the version is refused, with a clear error, and no engine loads it.
+// The origin's copy is damaged. Fetching it for ever would fill the link. The
+// version must be refused with a clear error, and no engine may load it.
 TEST(bursts, a_damaged_origin_has_the_version_refused)
 {
     for (auto const seed : seeds)
     {
         burst test(three_regions, seed);
-        test.fleet.corrupt_draws = 1'000'000;
+        test.fleet.corrupt_fetches_left = 1'000'000;
         test.fleet.run(minutes(5));
         for (auto const& name : test.fleet.names())
         {
@@ -244,8 +250,9 @@
     }
 }
 
-// The origin's manifest itself is damaged. No chunk can be named by it; the
-// version is refused after a few calls rather than asked for without end.
+// The origin's manifest is damaged, so no chunk can be identified by it. The
+// version must be refused after a few calls instead of being requested without
+// end.
 TEST(bursts, a_damaged_manifest_has_the_version_refused)
 {
     burst test(three_regions, 1);
@@ -259,8 +266,8 @@
     EXPECT_LE(test.fleet.origin_calls, 24U * 3U);
 }
 
-// Another version replaces the first in the middle of its burst. What is left
-// of the first must not take the link's time from the second.
+// Another version replaces the first during its burst. The rest of the first
+// must not take link time from the second.
 TEST(bursts, a_replaced_version_stops)
 {
     for (auto const seed : seeds)
@@ -271,14 +278,15 @@
         test.fleet.offer(next);
         test.fleet.assign({{"m", next.digest}});
         test.fleet.run(milliseconds(200));
-        auto const drawn = test.fleet.draws[test.version.digest];
+        auto const fetched = test.fleet.chunk_fetches[test.version.digest];
         ASSERT_TRUE(test.fleet.run(
             seconds(10),
             [&]
             {
                 return test.fleet.all_hold(next.digest);
             }));
-        EXPECT_EQ(test.fleet.draws[test.version.digest], drawn) << seed;
+        EXPECT_EQ(test.fleet.chunk_fetches[test.version.digest], fetched)
+            << seed;
         test.fleet.run(seconds(5));
         for (auto const& name : test.fleet.names())
         {
@@ -287,8 +295,8 @@
     }
 }
 
-// The origin is down for two minutes in mid-burst and comes back. Hundreds of
-// VMs must neither hammer it meanwhile nor all draw when it is back.
+// The origin is down for two minutes during a burst. Hundreds of VMs must
+// neither flood it with calls meanwhile nor all fetch from it when it is back.
 TEST(bursts, the_origin_is_down_for_minutes)
 {
     for (auto const seed : seeds)
@@ -299,7 +307,8 @@
         test.fleet.run(seconds(20));
         auto const calls = test.fleet.origin_calls;
         test.fleet.run(seconds(100));
-        // Each of 24 agents at most about every eight seconds on average.
+        // Each of the 24 agents calls at most about every eight seconds on
+        // average.
         EXPECT_LT(test.fleet.origin_calls - calls, 24U * 12U) << seed;
         test.fleet.origin_down = false;
         ASSERT_TRUE(test.finishes_within(seconds(60))) << seed;
@@ -307,9 +316,9 @@
     }
 }
 
-// The weight store gives ten chunks a second to the whole fleet and refuses the
-// rest. Agents must fit in with it: neither starve, nor spend the store's calls
-// on refusals, nor draw in each other's place because of them.
+// The weight store serves ten chunks a second to the whole fleet and refuses
+// the rest. Agents must adapt: not starve, not spend the store's calls on
+// refusals, and not fetch in place of each other because of refusals.
 TEST(bursts, a_rate_limited_store_is_respected)
 {
     for (auto const seed : seeds)
@@ -322,9 +331,10 @@
     }
 }
 
-// One importer alone cannot reach the origin. It must hand its chunks on, or
-// its whole region would wait for as long as its way is closed.
-TEST(bursts, an_importer_without_a_way_to_the_origin_hands_on)
+// One agent that should fetch chunks cannot reach the origin. It must hand its
+// chunks on; otherwise its whole region would wait for as long as its
+// connection to the origin is down.
+TEST(bursts, an_agent_cut_off_from_the_origin_hands_its_chunks_on)
 {
     for (auto const seed : seeds)
     {
@@ -335,9 +345,10 @@
     }
 }
 
-// A region is cut off from the origin for half a minute in mid-burst. The
-// others finish meanwhile, and it finishes after, from what it holds.
-TEST(bursts, a_region_is_cut_and_healed)
+// A region is cut off from the origin for half a minute during a burst. The
+// others must finish meanwhile, and the region afterwards, reusing what it
+// holds.
+TEST(bursts, a_region_recovers_after_a_cut_from_the_origin)
 {
     for (auto const seed : seeds)
     {
@@ -353,9 +364,9 @@
         test.fleet.run(seconds(30));
         for (auto const& name : test.fleet.names())
         {
-            auto const whole = weights::is_complete(
+            auto const complete = weights::is_complete(
                 test.fleet.core(name).weights.store, test.version.digest);
-            EXPECT_EQ(whole, !name.starts_with("b")) << name;
+            EXPECT_EQ(complete, !name.starts_with("b")) << name;
         }
         test.fleet.cut_from_origin.clear();
         ASSERT_TRUE(test.finishes_within(seconds(60))) << seed;
@@ -363,23 +374,26 @@
     }
 }
 
-// A VM is replaced after the burst and begins empty. It stands first for some
-// chunks, but its neighbours hold them all: the origin gives nothing.
-TEST(bursts, a_restarted_agent_draws_from_its_neighbours)
+// A VM is replaced after the burst and starts empty. It is first in the order
+// of some chunks, but its neighbours hold them all, so nothing may be fetched
+// from the origin.
+TEST(bursts, a_restarted_agent_fetches_from_its_neighbours)
 {
     for (auto const seed : seeds)
     {
         burst test(three_regions, seed);
         ASSERT_TRUE(test.finishes_within(seconds(10))) << seed;
-        auto const drawn = test.fleet.draws[test.version.digest];
+        auto const fetched = test.fleet.chunk_fetches[test.version.digest];
         test.fleet.restart("a103");
         ASSERT_FALSE(test.fleet.all_hold(test.version.digest));
         ASSERT_TRUE(test.finishes_within(seconds(10))) << seed;
-        EXPECT_EQ(test.fleet.draws[test.version.digest], drawn) << seed;
+        EXPECT_EQ(test.fleet.chunk_fetches[test.version.digest], fetched)
+            << seed;
     }
 }
 
-// The same in mid-burst: those below it lose their place in its list.
+// A VM is replaced during the burst. The agents that wait for it lose their
+// place in its queue.
 TEST(bursts, an_agent_restarts_in_mid_burst)
 {
     for (auto const seed : seeds)
@@ -392,9 +406,9 @@
     }
 }
 
-// A small adapter is released while a large model is on its way. It must not
-// wait for the whole of it.
-TEST(bursts, two_releases_share_the_way)
+// A small adapter is released while a large model is in transfer. It must not
+// wait until that transfer is complete.
+TEST(bursts, two_releases_share_the_link)
 {
     for (auto const seed : seeds)
     {
--- a/libs/agent_core/tests/fake_fleet.cpp
+++ b/libs/agent_core/tests/fake_fleet.cpp
@@ -13,9 +13,9 @@
 using std::chrono::milliseconds;
 
 constexpr std::uint32_t chunk_bytes = 64;
-constexpr milliseconds tick_time{20};
-constexpr milliseconds poll_time{200};
-constexpr milliseconds shortest_way{1};
+constexpr milliseconds tick_interval{20};
+constexpr milliseconds poll_interval{200};
+constexpr milliseconds min_latency{1};
 constexpr std::uint64_t jitter_ms = 3;
 
 } // namespace
@@ -50,7 +50,7 @@
 void fake_fleet::add(std::string const& name, fake_domain const& domain)
 {
     auto& machine = this->machines[name];
-    ++machine.life;
+    ++machine.incarnation;
     machine.alive = true;
     machine.core = {};
     machine.core.self = {name, domain.name, domain.region, ""};
@@ -72,8 +72,8 @@
     ++this->plan_version;
     for (auto const& [name, machine] : this->machines)
     {
-        // Plans reach agents a little apart.
-        this->later(
+        // Plans reach the agents at slightly different times.
+        this->schedule(
             name, milliseconds(base::random_below(this->random, 100)),
             [this, name = name]
             {
@@ -88,7 +88,7 @@
     for (auto const& domain : this->layout)
     {
         auto const foreign = domain.name != own;
-        this->later(
+        this->schedule(
             name, foreign ? this->foreign_plan_delay : milliseconds(0),
             [this, name, domain, version = this->plan_version,
              models = this->assigned]
@@ -124,7 +124,7 @@
 }
 
 std::vector<action>
-fake_fleet::give(std::string const& name, event const& input)
+fake_fleet::deliver(std::string const& name, event const& input)
 {
     return step(this->machines[name].core, input, this->now);
 }
@@ -142,18 +142,18 @@
     this->push_plan(name, *domain, old_version, {{"m", digest}});
 }
 
-void fake_fleet::later(
+void fake_fleet::schedule(
     std::string const& name, milliseconds delay, std::function<void()> work)
 {
     this->queue.push(
-        {this->now + delay, ++this->sequence, name, this->machines[name].life,
-         std::move(work)});
+        {this->now + delay, ++this->sequence, name,
+         this->machines[name].incarnation, std::move(work)});
 }
 
 void fake_fleet::tick(std::string const& name)
 {
-    this->later(
-        name, tick_time,
+    this->schedule(
+        name, tick_interval,
         [this, name]
         {
             this->handle(name, core::tick{});
@@ -161,11 +161,11 @@
         });
 }
 
-// Engines are asked for their state all the time.
+// Polls the engine's state at a fixed interval.
 void fake_fleet::poll(std::string const& name)
 {
-    this->later(
-        name, poll_time,
+    this->schedule(
+        name, poll_interval,
         [this, name]
         {
             this->report(name);
@@ -173,16 +173,16 @@
         });
 }
 
-bool fake_fleet::run(milliseconds most, condition const& done)
+bool fake_fleet::run(milliseconds time_limit, condition const& done)
 {
-    auto const end = this->now + most;
+    auto const end = this->now + time_limit;
     while (!this->queue.empty() && this->queue.top().due <= end)
     {
         auto const next = this->queue.top();
         this->queue.pop();
         this->now = next.due;
         auto const& target = this->machines[next.target];
-        if (target.alive && target.life == next.life)
+        if (target.alive && target.incarnation == next.incarnation)
         {
             next.run();
         }
@@ -202,7 +202,8 @@
         [&](auto const& entry)
         {
             return !entry.second.alive ||
-                   weights::is_complete(entry.second.core.weights.store, digest);
+                   weights::is_complete(
+                       entry.second.core.weights.store, digest);
         });
 }
 
@@ -302,7 +303,7 @@
     if (message.envelope.has_chunk_reply() &&
         !message.envelope.chunk_reply().data().empty())
     {
-        if (this->mute_chunks.contains(name))
+        if (this->dropping_chunks.contains(name))
         {
             return;
         }
@@ -312,29 +313,29 @@
         }
     }
     if (message.envelope.has_chunk_request() &&
-        this->lying.contains(ordered.peer))
+        this->claiming_all.contains(ordered.peer))
     {
-        // It says that it holds everything and never delivers.
-        core::message_received lie{ordered.peer, {}};
-        auto* const have = lie.envelope.mutable_chunk_have();
+        // The peer claims to hold all chunks and never delivers one.
+        core::message_received false_claim{ordered.peer, {}};
+        auto* const have = false_claim.envelope.mutable_chunk_have();
         have->set_digest(message.envelope.chunk_request().digest());
         have->set_bitmap(std::string(64, '\xff'));
-        this->later(
-            name, shortest_way,
-            [this, name, lie]
+        this->schedule(
+            name, min_latency,
+            [this, name, false_claim]
             {
-                this->handle(name, lie);
+                this->handle(name, false_claim);
             });
         return;
     }
-    auto delay = shortest_way +
-                 milliseconds(base::random_below(this->random, jitter_ms));
+    auto delay =
+        min_latency + milliseconds(base::random_below(this->random, jitter_ms));
     auto const slowed = this->slow.find(name);
     if (slowed != this->slow.end() && message.envelope.has_chunk_reply())
     {
         delay += slowed->second;
     }
-    this->later(
+    this->schedule(
         ordered.peer, delay,
         [this, target = ordered.peer, message]
         {
@@ -358,7 +359,7 @@
     {
         reply.failure = base::error{base::error_kind::origin_unavailable, ""};
     }
-    this->later(
+    this->schedule(
         name, milliseconds(5),
         [this, name, reply]
         {
@@ -385,19 +386,19 @@
     else
     {
         this->store_ready = this->now + this->store_interval;
-        ++this->draws[ordered.digest];
+        ++this->chunk_fetches[ordered.digest];
         reply.bytes = this->versions[ordered.digest].bytes.substr(
             std::size_t{ordered.index} * chunk_bytes, chunk_bytes);
-        if (this->corrupt_draws > 0)
+        if (this->corrupt_fetches_left > 0)
         {
-            --this->corrupt_draws;
+            --this->corrupt_fetches_left;
             reply.bytes[0] = '?';
         }
         auto& free = this->origin_free[this->machines[name].core.self.region];
         free = std::max(free, this->now) + this->origin_chunk_time;
         delay = std::chrono::duration_cast<milliseconds>(free - this->now);
     }
-    this->later(
+    this->schedule(
         name, delay,
         [this, name, reply]
         {
@@ -421,8 +422,8 @@
     auto& busy = this->loading[domain];
     auto const replaces = engine.loaded.contains(ordered.model);
     busy += replaces ? 1 : 0;
-    this->most_loading = std::max(this->most_loading, busy);
-    this->later(
+    this->max_loading = std::max(this->max_loading, busy);
+    this->schedule(
         name, this->load_time,
         [this, name, ordered, answer, domain, replaces]
         {
--- a/libs/agent_core/tests/fake_fleet.hpp
+++ b/libs/agent_core/tests/fake_fleet.hpp
@@ -14,7 +14,7 @@
 namespace foxtailvale::agent_core
 {
 
-// One failure domain of a fake fleet.
+// A failure domain of the simulated fleet.
 struct fake_domain
 {
     std::string name;
@@ -22,7 +22,7 @@
     int agents = 0;
 };
 
-// One version of a model with its bytes.
+// A version of a model, with its bytes.
 struct fake_version
 {
     std::string bytes;
@@ -32,7 +32,7 @@
 
 fake_version make_version(char filling, int chunks);
 
-// A fake engine's state behind an agent.
+// State of the simulated engine behind an agent.
 struct fake_engine
 {
     std::map<std::string, std::string> loaded;
@@ -41,8 +41,9 @@
     int instance = 1;
 };
 
-// Some agents' cores that exchange messages in virtual time; frames, the
-// origin and the engines are faked. One seed gives one course of events.
+// Runs the state machines of several agents and passes messages between them in
+// virtual time; the network, the origin and the engines are simulated. The same
+// seed gives the same sequence of events.
 class fake_fleet
 {
 public:
@@ -50,76 +51,83 @@
 
     fake_fleet(std::vector<fake_domain> domains, std::uint64_t seed);
 
-    // Offers a version at the origin.
+    // Makes a version available at the origin.
     void offer(fake_version const& version);
 
-    // Gives every agent of every domain these models, at once.
+    // Assigns these models to every agent of every domain.
     void assign(std::vector<control::assigned_model> const& models);
 
-    // Gives one agent an event now and returns what it did.
-    std::vector<action> give(std::string const& name, event const& input);
+    // Passes an event to one agent at the current time and returns its actions
+    // without performing them.
+    std::vector<action> deliver(std::string const& name, event const& input);
 
-    // Replaces the agent but not its engine; its first plan is this one.
+    // Replaces the agent but not its engine; the first plan of the new agent
+    // has this digest and version.
     void replace_agent(
         std::string const& name,
         std::string const& digest,
         std::uint64_t old_version);
 
-    // Tells an agent the plans as they are.
+    // Sends an agent the current plans of all domains.
     void push_plans(std::string const& name);
 
-    // Runs until the condition holds; false when the time is up first.
-    bool run(std::chrono::milliseconds most, condition const& done = {});
+    // Runs until the condition holds; false when the time limit is reached
+    // first.
+    bool run(std::chrono::milliseconds time_limit, condition const& done = {});
 
-    // Whether all living agents hold the whole version.
+    // Whether all live agents hold the complete version.
     bool all_hold(std::string const& digest) const;
-    // Whether all living agents' engines serve it.
+    // Whether the engines of all live agents serve the version.
     bool all_serve(std::string const& digest) const;
 
     std::vector<std::string> names() const;
-    // Who imports a chunk in the first domain, and its place's next.
+    // Name of the agent of the first domain at this place in the chunk's order;
+    // place 0 fetches from the origin.
     std::string agent_at(
         std::string const& digest,
         std::uint32_t chunk,
         std::size_t place) const;
 
-    // Ends an agent without a word; what is sent to it is lost.
+    // Stops an agent without notice; messages to it are lost.
     void kill(std::string const& name);
-    // Starts it again with nothing.
+    // Restarts an agent with no stored state.
     void restart(std::string const& name);
 
     state& core(std::string const& name);
     std::chrono::milliseconds elapsed() const;
 
-    // Faults.
+    // Injected faults.
     std::set<std::string> corrupting;
-    std::set<std::string> lying;
-    std::set<std::string> mute_chunks;
+    std::set<std::string> claiming_all;
+    std::set<std::string> dropping_chunks;
     std::map<std::string, std::chrono::milliseconds> slow;
     std::set<std::string> cut_from_origin;
     bool origin_down = false;
-    int corrupt_draws = 0;
+    int corrupt_fetches_left = 0;
     bool corrupt_manifests = false;
-    // Least time between chunks that the origin gives; sooner it refuses.
+    // Minimum time between chunks that the origin serves; earlier fetches are
+    // refused.
     std::chrono::milliseconds store_interval{0};
     bool lose_order_answers = false;
     bool engines_check_fencing = true;
     std::chrono::milliseconds origin_chunk_time{50};
     std::chrono::milliseconds load_time{200};
 
-    // Plans of other domains come this much later than the own one.
+    // Delay of the plans of other domains after the plan of an agent's own
+    // domain.
     std::chrono::milliseconds foreign_plan_delay{0};
 
-    // What was seen.
-    std::map<std::string, int> draws;
+    // Observed results.
+    std::map<std::string, int> chunk_fetches;
     std::uint64_t origin_calls = 0;
     std::uint64_t origin_refusals = 0;
     std::uint64_t messages = 0;
     std::map<std::string, fake_engine> engines;
     std::vector<base::error> errors;
-    // Most engines of one domain that loaded at once.
+    // Engines per domain that are replacing a version, and the maximum number
+    // at one time in any domain.
     std::map<std::string, int> loading;
-    int most_loading = 0;
+    int max_loading = 0;
 
 private:
     struct delivery
@@ -127,7 +135,7 @@
         base::time_point due;
         std::uint64_t order = 0;
         std::string target;
-        std::uint64_t life = 0;
+        std::uint64_t incarnation = 0;
         std::function<void()> run;
 
         bool operator<(delivery const& other) const
@@ -140,7 +148,7 @@
     {
         state core;
         bool alive = true;
-        std::uint64_t life = 0;
+        std::uint64_t incarnation = 0;
     };
 
     void add(std::string const& name, fake_domain const& domain);
@@ -150,7 +158,7 @@
         std::uint64_t version,
         std::vector<control::assigned_model> const& models);
     void handle(std::string const& name, event const& input);
-    void later(
+    void schedule(
         std::string const& name,
         std::chrono::milliseconds delay,
         std::function<void()> work);
--- a/libs/agent_core/tests/request_flow_tests.cpp
+++ b/libs/agent_core/tests/request_flow_tests.cpp
@@ -45,7 +45,7 @@
     return nullptr;
 }
 
-// Whether a tick at this time lets the process end.
+// Whether a tick at this time allows the process to end.
 bool has_finished(state& agent, milliseconds time)
 {
     auto const actions = step(agent, core::tick{}, base::time_point(time));
@@ -64,19 +64,19 @@
     auto agent = make_agent();
     auto const started = step(agent, run_message(1, "d1"), {});
     ASSERT_TRUE(std::holds_alternative<start_attempt>(started.at(0)));
-    auto const piece =
-        step(agent, attempt_output{{1, 0}, 200, "text/plain", "a", false, {}}, {});
+    auto const piece = step(
+        agent, attempt_output{{1, 0}, 200, "text/plain", "a", false, {}}, {});
     EXPECT_EQ(find_output(piece)->sequence(), 0U);
-    auto const end =
-        step(agent, attempt_output{{1, 0}, 200, "text/plain", "b", true, {}}, {});
+    auto const end = step(
+        agent, attempt_output{{1, 0}, 200, "text/plain", "b", true, {}}, {});
     EXPECT_EQ(find_output(end)->sequence(), 1U);
     EXPECT_TRUE(find_output(end)->last());
     EXPECT_TRUE(agent.requests.gate.running.empty());
 }
 
-// A version replaces another while a request is on its way. Run here, it would
-// be answered from weights that it was not pinned to; the gate refuses it as
-// not run, so the entry may send it elsewhere.
+// A version replaces another while a request is in transit. If it ran here, it
+// would be answered by weights that it was not pinned to. The gate refuses it
+// as not run, so the entry may send it elsewhere.
 TEST(agent_requests, other_weights_are_refused_as_not_run)
 {
     auto agent = make_agent();
@@ -89,7 +89,7 @@
 }
 
 // The VM is stopped on purpose while a request runs. The request must finish
-// before the process ends, and nothing new may begin.
+// before the process ends, and no new one may start.
 TEST(agent_requests, a_planned_stop_waits_for_running_work)
 {
     auto agent = make_agent();
@@ -98,17 +98,18 @@
     EXPECT_FALSE(has_finished(agent, milliseconds(1000)));
     auto const refused = step(agent, run_message(2, "d1"), {});
     EXPECT_EQ(find_output(refused)->error(), "endpoint_leaving");
-    auto const end =
-        step(agent, attempt_output{{1, 0}, 200, "text/plain", "b", true, {}}, {});
+    auto const end = step(
+        agent, attempt_output{{1, 0}, 200, "text/plain", "b", true, {}}, {});
     EXPECT_TRUE(find_output(end)->last());
-    // Entries that have not heard yet still get their refusal.
+    // Entries that do not know of the stop yet still get a refusal.
     EXPECT_FALSE(has_finished(agent, milliseconds(1999)));
     EXPECT_TRUE(has_finished(agent, milliseconds(2000)));
 }
 
-// The engine dies under a prompt and comes back as another instance. The
-// entries must learn what ran on it, or the prompt goes from engine to engine.
-TEST(agent_requests, a_crash_names_what_ran)
+// The engine crashes on a prompt and comes back as another instance. The
+// entries must be told what ran on it, or the prompt is sent from engine to
+// engine.
+TEST(agent_requests, a_crash_reports_the_running_requests)
 {
     auto agent = make_agent();
     agent.control.listeners["entry-1"] = {};
@@ -120,17 +121,17 @@
     step(agent, attempt_output{{1, 0}, 0, "", "", true, lost}, {});
     auto const actions = step(
         agent, endpoint_report{true, "i2", true, {{"assistant", "d1"}}}, {});
-    auto told = 0;
+    auto notified = 0;
     for (auto const& ordered : actions)
     {
         auto const* const sent = std::get_if<core::send_message>(&ordered);
         if (sent != nullptr && sent->envelope.has_suspect_notice())
         {
             EXPECT_EQ(sent->envelope.suspect_notice().fingerprint(), 77U);
-            ++told;
+            ++notified;
         }
     }
-    EXPECT_EQ(told, 1);
+    EXPECT_EQ(notified, 1);
 }
 
 } // namespace foxtailvale::agent_core
--- a/libs/agent_core/tests/reservation_flow_tests.cpp
+++ b/libs/agent_core/tests/reservation_flow_tests.cpp
@@ -100,7 +100,8 @@
 
 } // namespace
 
-// A body comes twice, because a frame was repeated. One van goes out.
+// A body arrives twice because a frame was repeated. Only one van may be sent
+// out.
 TEST(agent_reservations, a_token_runs_one_body)
 {
     auto agent = make_agent();
@@ -113,7 +114,8 @@
     EXPECT_EQ(outcome_of(agent, 1, start), wire::OutcomeReply::FINISHED);
 }
 
-// A body arrives after its sender gave up and said "not run". It must not run.
+// A body arrives after its sender gave up and reported "not run". It must not
+// run.
 TEST(agent_reservations, a_void_or_expired_token_runs_nothing)
 {
     auto agent = make_agent();
@@ -133,9 +135,9 @@
     EXPECT_NE(reserve(agent, 3, late), 0U);
 }
 
-// The agent restarted and remembers nothing. "Not run" would be a guess, and a
-// wrong one sends a second van.
-TEST(agent_reservations, what_is_not_known_is_not_denied)
+// The agent restarted and has no stored outcomes. Answering "not run" would be
+// a guess, and a wrong one sends a second van.
+TEST(agent_reservations, an_unknown_attempt_is_not_confirmed_as_not_run)
 {
     auto agent = make_agent();
     EXPECT_EQ(outcome_of(agent, 9, start), wire::OutcomeReply::UNKNOWN);
--- a/libs/agent_core/tests/weights_flow_tests.cpp
+++ b/libs/agent_core/tests/weights_flow_tests.cpp
@@ -54,13 +54,13 @@
 
 } // namespace
 
-// The engine may load only the whole: with one chunk missing it must not even
-// be ordered to, or a lessee could be answered from partial weights.
-TEST(agent_weights, orders_the_engine_only_when_whole)
+// The engine may load only complete weights. While one chunk is missing it must
+// not get an order, or a caller could be answered from partial weights.
+TEST(agent_weights, orders_the_engine_only_when_complete)
 {
     fixture test;
-    auto const asked = test.push_plan(3);
-    ASSERT_NE(find<fetch_manifest>(asked), nullptr);
+    auto const requested = test.push_plan(3);
+    ASSERT_NE(find<fetch_manifest>(requested), nullptr);
     auto const chunks =
         step(test.agent, origin_manifest{test.digest, test.text, {}}, {});
     ASSERT_NE(find<fetch_chunk>(chunks), nullptr);
@@ -74,8 +74,8 @@
     EXPECT_EQ(find<order_engine>(ordered)->fencing, 3U);
 }
 
-// A paused planner wakes and its old plan arrives after the new one. Obeyed,
-// endpoints would go back to old weights.
+// A paused planner resumes and its old plan arrives after the new one. If it
+// were followed, endpoints would go back to old weights.
 TEST(agent_weights, an_older_plan_is_ignored)
 {
     fixture test;
@@ -84,13 +84,14 @@
     EXPECT_EQ(test.agent.control.plans.at("split-a").version, 3U);
 }
 
-// A new version is loaded while callers keep coming. A request that begins
-// after the order and streams across the swap would mix two versions. The gate
-// runs nothing of the model until a report that was made after the order.
+// A new version is loaded while callers keep sending requests. A request that
+// starts after the order and streams across the switch would mix two versions.
+// The gate must run nothing for the model until a report made after the order.
 TEST(agent_weights, nothing_runs_while_an_order_changes_the_model)
 {
     using std::chrono::milliseconds;
-    // Later than an agent waits for newer plans after its first one.
+    // Later than the time that an agent waits for newer plans after its first
+    // one.
     constexpr milliseconds settled{60'000};
     auto const at = [settled](int time)
     {
@@ -115,10 +116,12 @@
     endpoint_report report{true, "i", false, {{"assistant", "d0"}}, at(15)};
     step(test.agent, report, at(21));
     EXPECT_EQ(find<start_attempt>(step(test.agent, run, at(22))), nullptr);
-    // Nor is it ordered again before its report says how the order went.
+    // The engine must not be ordered again before its report shows the effect
+    // of the order.
     EXPECT_EQ(
         find<order_engine>(step(test.agent, core::tick{}, at(23))), nullptr);
-    // The report that was under way may be older; the one after it is not.
+    // The report in transit may be older than the effect; the one after it is
+    // not.
     report.asked = at(25);
     step(test.agent, report, at(26));
     EXPECT_NE(find<start_attempt>(step(test.agent, run, at(27))), nullptr);
