--- a/fuzz/src/core_targets.cpp
+++ b/fuzz/src/core_targets.cpp
@@ -302,7 +302,7 @@
 
     void work()
     {
-        agent_core::work_output output;
+        agent_core::attempt_output output;
         output.attempt = core::from_wire(this->attempt());
         output.status = 200;
         output.last = this->choose.below(2) == 0;
@@ -360,7 +360,7 @@
              agent_core::step(this->core, event, this->now))
         {
             auto const* const start =
-                std::get_if<agent_core::start_work>(&action);
+                std::get_if<agent_core::start_attempt>(&action);
             if (start != nullptr)
             {
                 // The endpoint never runs one attempt twice at a time.
--- a/libs/agent_core/tests/reservation_flow_tests.cpp
+++ b/libs/agent_core/tests/reservation_flow_tests.cpp
@@ -75,7 +75,7 @@
 {
     for (auto const& ordered : actions)
     {
-        if (std::holds_alternative<start_work>(ordered))
+        if (std::holds_alternative<start_attempt>(ordered))
         {
             return true;
         }
@@ -100,7 +100,8 @@
 
 } // namespace
 
-// A body comes twice, because a frame was repeated. One van goes out.
+// A body arrives twice because a frame was repeated. Only one van may be sent
+// out.
 TEST(agent_reservations, a_token_runs_one_body)
 {
     auto agent = make_agent();
@@ -108,12 +109,13 @@
     ASSERT_NE(token, 0U);
     EXPECT_TRUE(starts_work(step(agent, run_message(1, token), at(start))));
     EXPECT_TRUE(step(agent, run_message(1, token), at(start)).empty());
-    step(agent, work_output{{1, 1}, 200, "", "done", true, {}}, at(start));
+    step(agent, attempt_output{{1, 1}, 200, "", "done", true, {}}, at(start));
     EXPECT_TRUE(step(agent, run_message(1, token), at(start)).empty());
     EXPECT_EQ(outcome_of(agent, 1, start), wire::OutcomeReply::FINISHED);
 }
 
-// A body arrives after its sender gave up and said "not run". It must not run.
+// A body arrives after its sender gave up and reported "not run". It must not
+// run.
 TEST(agent_reservations, a_void_or_expired_token_runs_nothing)
 {
     auto agent = make_agent();
@@ -133,9 +135,9 @@
     EXPECT_NE(reserve(agent, 3, late), 0U);
 }
 
-// The agent restarted and remembers nothing. "Not run" would be a guess, and a
-// wrong one sends a second van.
-TEST(agent_reservations, what_is_not_known_is_not_denied)
+// The agent restarted and has no stored outcomes. Answering "not run" would be
+// a guess, and a wrong one sends a second van.
+TEST(agent_reservations, an_unknown_attempt_is_not_confirmed_as_not_run)
 {
     auto agent = make_agent();
     EXPECT_EQ(outcome_of(agent, 9, start), wire::OutcomeReply::UNKNOWN);
@@ -157,7 +159,7 @@
     auto agent = make_agent();
     auto const token = reserve(agent, 1, start);
     step(agent, run_message(1, token), at(start));
-    step(agent, work_output{{1, 1}, 200, "", "done", true, {}}, at(start));
+    step(agent, attempt_output{{1, 1}, 200, "", "done", true, {}}, at(start));
     auto const later = minutes(11);
     step(agent, core::tick{}, at(later));
     EXPECT_EQ(outcome_of(agent, 1, later), wire::OutcomeReply::UNKNOWN);
--- a/libs/entry_core/tests/control_failure_tests.cpp
+++ b/libs/entry_core/tests/control_failure_tests.cpp
@@ -385,7 +385,7 @@
     std::string const leaving_name = "split-a-agent-2";
     rig.agents[leaving_name].control.stopping = true;
     rig.agents[leaving_name].requests.gate.leaving = true;
-    rig.agents[leaving_name].control.has_news = true;
+    rig.agents[leaving_name].control.heartbeat_due = true;
     rig.run_for(seconds(2));
     for (auto const& [name, entry] : rig.entries)
     {
--- a/libs/entry_core/tests/request_world.cpp
+++ b/libs/entry_core/tests/request_world.cpp
@@ -173,7 +173,7 @@
                 {
                     this->send(name, message);
                 },
-                [&](agent_core::start_work const& start)
+                [&](agent_core::start_attempt const& start)
                 {
                     this->run_work(name, start);
                 },
@@ -348,7 +348,7 @@
 }
 
 void request_simulation::run_work(
-    std::string const& agent, agent_core::start_work const& start)
+    std::string const& agent, agent_core::start_attempt const& start)
 {
     ++this->run_counts[start.run.request_id()];
     auto const limit = this->agents.at(agent).requests.gate.limit;
@@ -368,7 +368,7 @@
             }
             --this->running_now[agent];
             this->step_agent(
-                agent, agent_core::work_output{
+                agent, agent_core::attempt_output{
                            start.attempt,
                            200,
                            "text/plain",
--- a/libs/node/src/agent_node.cpp
+++ b/libs/node/src/agent_node.cpp
@@ -110,12 +110,12 @@
         this->loop.stop();
     }
 
-    void operator()(agent_core::start_work& action)
+    void operator()(agent_core::start_attempt& action)
     {
         this->endpoint->start(std::move(action));
     }
 
-    void operator()(agent_core::cancel_work& action)
+    void operator()(agent_core::stop_attempt& action)
     {
         this->endpoint->cancel(action.attempt);
     }
