--- a/libs/gateway/include/gateway/cached_view.hpp
+++ b/libs/gateway/include/gateway/cached_view.hpp
@@ -14,86 +14,100 @@
 #include <utility>
 #include <vector>
 
-// One kind of the platform's objects as an entry holds it, so that it can hand
-// it on to others.
+// An entry's copy of one kind of the platform's objects, held so that it can be
+// passed on to other entries.
 namespace foxtailvale::gateway
 {
 
-struct kept_object
+struct cached_object
 {
     platform::store_object object;
-    // The store's revision of its last change, or a later one.
+    // The store's revision of the object's last change, or a later one.
     std::uint64_t revision = 0;
+    // When the current content was learned of, less the age that it had then.
     base::boot_time learned;
 };
 
-// The number that a writer gives to what it writes and that only grows; zero
-// where there is none.
-using own_number = std::function<std::uint64_t(std::string const& content)>;
+// Reads from an object's content the version number that its writer gave it,
+// which only grows; zero where there is none.
+using content_version_reader =
+    std::function<std::uint64_t(std::string const& content)>;
 
-struct kept_view
+struct cached_view
 {
-    // Of the last change; zero before the first listing.
-    platform::store_mark mark;
-    // Until which moment all that was accepted is in here.
+    // Position (era and revision) of the last change; revision zero before the
+    // first listing.
+    platform::store_mark position;
+    // Everything that the store accepted before this time is included.
     std::optional<base::boot_time> confirmed;
-    std::map<std::string, kept_object> objects;
-    // Objects that were removed, by name, and the revision from which on all
-    // removals are known.
-    std::map<std::string, kept_object> removed;
-    std::uint64_t removals_after = 0;
-    // Revisions strictly between which removals are not known: what came and
-    // went between two listings was not seen here, but may be known elsewhere.
+    std::map<std::string, cached_object> objects;
+    // Removed objects by name, and the revision from which on all removals are
+    // known.
+    std::map<std::string, cached_object> removed;
+    std::uint64_t removals_known_after = 0;
+    // Pairs of revisions strictly between which removals are not known: objects
+    // that were created and removed between two listings were not seen here,
+    // but other entries may know them.
     std::deque<std::pair<std::uint64_t, std::uint64_t>> gaps;
-    // Orders contents of one object without the store's revisions. May be
-    // empty.
-    own_number number;
-    // Objects that are newer, by their own number, than what the store showed
-    // when it came back from a copy. They stay until they are written again.
+    // Orders contents of an object independently of the store's revisions. May
+    // be empty.
+    content_version_reader read_version;
+    // Names of objects whose content has a higher version number than the store
+    // showed after it was restored from a copy. They are kept until they are
+    // written again.
     std::set<std::string> ahead;
 };
 
-// Past this many the oldest removals go, and whoever needs them gets all.
-inline constexpr std::size_t most_removals = 4096;
+// Above this number the oldest removals are dropped; an entry that would need
+// them gets the full list.
+inline constexpr std::size_t max_removals = 4096;
 
-// The same for gaps, which each loss of the platform makes.
-inline constexpr std::size_t most_gaps = 64;
+// The same for gaps; each loss of the connection to the platform adds one.
+inline constexpr std::size_t max_gaps = 64;
 
-// What changed since a mark, or all of it.
-struct view_page
+// What changed since a position, or all objects if that cannot be told.
+struct view_changes
 {
-    bool whole = false;
-    std::vector<kept_object const*> objects;
+    // `objects` holds all objects and not only the changed ones.
+    bool is_complete = false;
+    std::vector<cached_object const*> objects;
 };
 
-// Takes a whole listing. One of a higher era replaces what the store has lost,
-// but for objects that are newer by their own number.
-void put_list(
-    kept_view& state,
+// Applies a complete listing. A listing of a higher era, which follows a
+// restore of the store, replaces everything except objects whose content has a
+// higher version number.
+void apply_listing(
+    cached_view& state,
     std::vector<platform::store_object> const& objects,
-    platform::store_mark const& mark,
+    platform::store_mark const& position,
     base::boot_time now);
 
-void put_change(
-    kept_view& state,
+// Applies the change or removal of one object.
+void apply_change(
+    cached_view& state,
     platform::store_object const& object,
-    platform::store_mark const& mark,
+    platform::store_mark const& position,
     base::boot_time now);
 
-// Takes an object that another entry holds and that is newer, by its own
-// number, than what the store shows since its return.
+// Adds an object that another entry holds and whose content has a higher
+// version number than the store shows since it was restored.
 void hold_ahead(
-    kept_view& state,
+    cached_view& state,
     platform::store_object const& object,
     base::boot_time now);
 
-// Another entry says that the object is newer than what the store shows.
-void note_ahead(kept_view& state, std::string const& name);
+// Marks an object as newer than what the store shows, as reported by another
+// entry.
+void mark_ahead(cached_view& state, std::string const& name);
 
-// Never goes back.
-void confirm(kept_view& state, base::boot_time until);
+// Records that everything accepted before `until` is included. Never moves the
+// time back.
+void confirm(cached_view& state, base::boot_time until);
 
-view_page page_after(kept_view const& state, platform::store_mark const& known);
+// Returns what an entry that knows the view up to the position needs to be
+// current. Pointers refer into the view.
+view_changes
+changes_since(cached_view const& state, platform::store_mark const& known);
 
 } // namespace foxtailvale::gateway
 
--- a/libs/gateway/include/gateway/connection_pool.hpp
+++ b/libs/gateway/include/gateway/connection_pool.hpp
@@ -13,37 +13,41 @@
 namespace foxtailvale::gateway
 {
 
-// Open connections to endpoints by address. A new connection costs a round
-// trip and may hold one of the endpoint's slots for a moment, so they are kept
-// for as long as the endpoint cannot have timed them out.
+// Keeps idle connections to endpoints, by address, for reuse. Opening a
+// connection costs a round trip and may occupy one of the endpoint's slots for
+// a moment, so a connection is kept for as long as the endpoint cannot have
+// closed it as idle.
 class connection_pool
 {
 public:
     explicit connection_pool(boost::asio::io_context& event_loop);
 
-    // A connection for one exchange; null when the address is none. `longest`
-    // is the idle time up to which a kept one may be taken: short where a
-    // reset that crosses the request could not be told from a lost answer.
+    // Returns a connection for one exchange, reused or new; null when the
+    // address cannot be parsed. A pooled connection is reused only if it has
+    // been idle for less than `max_idle`, in milliseconds. Pass a short time
+    // for requests where a connection reset that crosses the request could not
+    // be told from a lost answer.
     std::shared_ptr<net::client_connection>
-    take(std::string const& address, std::chrono::milliseconds longest);
+    take(std::string const& address, std::chrono::milliseconds max_idle);
 
-    // Gives a connection back after its exchange; one that ended is dropped.
+    // Returns a connection to the pool after its exchange; a closed one is
+    // dropped.
     void give(
         std::string const& address,
         std::shared_ptr<net::client_connection> connection);
 
-    // Ends those that nobody took for a while.
+    // Closes connections that exceeded their idle limit.
     void sweep();
 
-    // Connections opened so far.
+    // Number of connections opened so far.
     std::uint64_t opened() const;
 
 private:
     boost::asio::io_context& loop;
-    // The one that was used last stands last.
+    // By address; the most recently used connection is at the back.
     std::map<std::string, std::deque<std::shared_ptr<net::client_connection>>>
-        kept;
-    std::uint64_t made = 0;
+        idle_connections;
+    std::uint64_t opened_count = 0;
 };
 
 } // namespace foxtailvale::gateway
--- a/libs/gateway/include/gateway/entry.hpp
+++ b/libs/gateway/include/gateway/entry.hpp
@@ -16,7 +16,8 @@
 
 class domain_reports;
 
-// An entry as a whole: its doors, its views of the platform, its peers.
+// The entry process: its HTTP servers, its views of the platform's store and
+// its links to other entries and agents.
 class entry_process : public std::enable_shared_from_this<entry_process>
 {
 public:
@@ -25,32 +26,36 @@
         settings_file& file,
         platform::settings const& given);
 
-    // An error text when an address cannot be listened on.
+    // Starts listening and joins the other processes. Returns an error text
+    // when the settings lack an address or an address cannot be listened on.
     std::optional<std::string> start();
 
     kernel::metrics const& counters() const;
 
-    // Begins a planned stop: new work goes elsewhere, what runs ends.
+    // Begins a graceful shutdown: readiness fails so that new requests go to
+    // other entries, and running requests are completed.
     void stop();
 
 private:
-    std::shared_ptr<net::http_server> make_caller_door();
-    std::shared_ptr<net::http_server> make_ready_door();
-    // Lets the views and the other entries talk with each other.
-    void join_peers();
+    std::shared_ptr<net::http_server> make_caller_server();
+    std::shared_ptr<net::http_server> make_readiness_server();
+    // Connects the view relay and the domain reports with the peer link, in
+    // both directions.
+    void connect_peers();
     void await_signal();
     void run_tick();
     void run_maintenance();
-    // Asks agents that became known, all of the next moment together.
-    void subscribe_soon();
-    void await_end();
+    // Subscribes to newly listed agents after a short delay, so that agents
+    // listed at about the same time are subscribed to together.
+    void schedule_subscribe();
+    void await_drain();
     bool is_ready() const;
 
     boost::asio::io_context& loop;
     settings_file& file;
     std::shared_ptr<entry_context> context;
-    std::shared_ptr<net::http_server> caller_door;
-    std::shared_ptr<net::http_server> ready_door;
+    std::shared_ptr<net::http_server> caller_server;
+    std::shared_ptr<net::http_server> readiness_server;
     std::shared_ptr<peer_link> peers;
     std::shared_ptr<domain_reports> reports;
     std::shared_ptr<entry_views> views;
@@ -59,7 +64,7 @@
     boost::asio::steady_timer tick_timer;
     boost::asio::steady_timer maintenance_timer;
     boost::asio::steady_timer subscribe_timer;
-    bool subscribe_planned = false;
+    bool subscribe_scheduled = false;
     boost::asio::steady_timer stop_timer;
     base::time_point stop_began;
 };
--- a/libs/gateway/include/gateway/entry_context.hpp
+++ b/libs/gateway/include/gateway/entry_context.hpp
@@ -32,65 +32,71 @@
 
 class call;
 
-// Order in which requests of one service wait for an endpoint: the more urgent
-// first, then those that can still be answered within their goal, then those
-// that have the least time left to wait.
-struct waiting_place
+// Sort key of the queue in which requests of one service wait for an endpoint:
+// higher priority first, then requests that can still be answered within their
+// goal, then those with the least time left to wait.
+struct queue_position
 {
     std::uint32_t priority = 0;
-    bool returned = false;
+    bool goal_expired = false;
     base::time_point until;
     std::uint64_t arrival = 0;
 
-    auto operator<=>(waiting_place const&) const = default;
+    auto operator<=>(queue_position const&) const = default;
 };
 
-using waiting_line = std::map<waiting_place, std::shared_ptr<call>>;
+using request_queue = std::map<queue_position, std::shared_ptr<call>>;
 
-// What all requests of one entry share. Used from the loop only.
+// State shared by all requests of one entry. Used from the event loop only.
 struct entry_context
 {
     boost::asio::io_context& loop;
     platform::settings settings;
     connection_pool pool;
     kernel::metrics counters;
-    traffic_book traffic;
+    traffic_counts traffic;
 
-    // The configuration in force; null before the first.
+    // The active configuration; null until one was read.
     std::shared_ptr<routing::configuration const> configuration;
-    // When the read began that last confirmed it.
+    // When the read began that last confirmed the configuration as current.
     std::optional<base::boot_time> confirmed;
     direct::endpoint_book book;
     direct::process_pause pause;
-    // How long the machine was suspended since its start, as last seen.
+    // Total time for which the machine was suspended since boot, as last
+    // observed.
     std::chrono::milliseconds suspended{0};
     direct::entry_count entries;
     direct::part_memory parts;
-    // IP addresses of all entries that were seen, this one among them.
+    // IP addresses of all entries seen so far, including this one.
     std::set<std::string> entry_addresses;
-    // Entries of each failure domain that were last named alive together.
-    std::map<std::string, std::size_t> entries_alive;
-    // By service.
-    std::map<std::string, direct::retry_window> repeats;
-    std::map<std::string, waiting_line> waiting;
-    // Requests that this entry and its neighbours refused, and those of them
-    // that the neighbours are still to be told of.
+    // Number of entries per failure domain in the last notice that listed the
+    // live ones.
+    std::map<std::string, std::size_t> live_entries;
+    // Retry budget windows, by service.
+    std::map<std::string, direct::retry_window> retry_windows;
+    // Requests that wait for an endpoint, by service.
+    std::map<std::string, request_queue> waiting;
+    // Requests refused by this entry and its neighbours, and the fingerprints
+    // of those whose refusal has not been sent to the neighbours yet.
     request::refusal_book refusals;
-    std::vector<request::fingerprint> untold_refusals;
-    // IP addresses of the other entries of this failure domain, where callers
-    // come back to.
+    std::vector<request::fingerprint> unsent_refusals;
+    // IP addresses of the other entries of this failure domain, to which
+    // callers may come back after a refusal.
     std::set<std::string> neighbours;
-    // From a request's sending to its first event, by service.
-    std::map<std::string, request::measured_time> first_answer;
-    // How near beginnings on a version came to its bound, the least time that
-    // was left, by model and version.
+    // Time from sending a request to its first event, by service.
+    std::map<std::string, request::measured_time> time_to_first_event;
+    // Smallest margin seen between the start of a request on an older version
+    // and the time by which that version must no longer be used, by model and
+    // version. Exported as a metric.
     std::map<std::pair<std::string, std::uint64_t>, std::chrono::milliseconds>
-        nearest_beginnings;
+        least_start_margins;
     request::suspect_list suspects;
-    // Tells the other entries of a crash or that it was none of this request.
+    // Notifies the other entries that an endpoint may have crashed on a
+    // request, or, with `answered`, that the request was answered and did not
+    // cause the crash.
     std::function<void(
         request::fingerprint, std::string const& endpoint, bool answered)>
-        tell_crash;
+        notify_crash;
     base::random_state random;
     std::uint64_t arrivals = 0;
     bool stopping = false;
@@ -99,30 +105,34 @@
         boost::asio::io_context& event_loop, platform::settings given);
 };
 
-// How long this machine has been suspended since its start.
+// Total time for which this machine has been suspended since boot: the
+// difference between the boot clock and the steady clock.
 std::chrono::milliseconds suspended_time();
 
-// Sets right what was counted on the steady clock if the machine was suspended
-// since the last look.
+// Corrects times taken on the steady clock, which stops during suspend, if the
+// machine was suspended since the last call.
 void note_suspend(entry_context& context);
 
-// The endpoint was found gone: what was cut there a moment before may have
-// crashed it. The other entries are told.
+// Handles an endpoint that was found to be gone: requests whose answers were
+// cut off there shortly before may have crashed it. They are recorded as
+// suspects and the other entries are notified.
 void note_gone(entry_context& context, std::string const& endpoint);
 
-// The agent at the IP address cannot reach its engine.
+// The same for all endpoints at the IP address, whose agent reports that its
+// engine is unreachable.
 void note_gone_at(entry_context& context, std::string const& ip);
 
-// Whether agents run beside the service's endpoints; they do beside engines.
+// Whether agents run beside the service's endpoints. They do where the service
+// is configured with an engine; before the first configuration it is assumed.
 bool has_agents(entry_context const& context, std::string const& service);
 
 // Failure domains in which agents run.
 std::set<std::string> agent_domains(entry_context const& context);
 
-// Lets waiting requests of the service try again, in their order.
+// Tries to place the waiting requests of the service, in queue order.
 void serve_waiting(entry_context& context, std::string const& service);
 
-// The same for all services.
+// Tries to place the waiting requests of all services.
 void serve_all_waiting(entry_context& context);
 
 } // namespace foxtailvale::gateway
--- a/libs/gateway/include/gateway/entry_process.hpp
+++ b/libs/gateway/include/gateway/entry_process.hpp
@@ -6,11 +6,11 @@
 namespace foxtailvale::gateway
 {
 
-// Runs an entry that sends to endpoints directly, on the platform that wrote
-// the settings file; returns the exit code when it was stopped.
+// Runs an entry that sends requests to endpoints directly, with the settings
+// file that the platform wrote. Returns the process's exit code after shutdown.
 int run_entry(std::string const& settings_path);
 
-// Tells all faults of the settings file on standard error; returns the exit
+// Prints every fault of the settings file to standard error. Returns the exit
 // code.
 int check_entry(std::string const& settings_path);
 
--- a/libs/gateway/include/gateway/entry_views.hpp
+++ b/libs/gateway/include/gateway/entry_views.hpp
@@ -10,7 +10,8 @@
 namespace foxtailvale::gateway
 {
 
-// An entry's views of the platform's store, kept in its context.
+// Watches the platform's store for each kind of objects and updates the entry's
+// context with what it reads.
 class entry_views : public std::enable_shared_from_this<entry_views>
 {
 public:
@@ -18,17 +19,18 @@
 
     void start();
 
-    // Takes back failure domains that were held out since the store's return
-    // and were not written again.
+    // Returns failure domains to service that were held out since the store was
+    // restored and were not written again in time.
     void expire_domains();
 
-    // The list of endpoints was read at least once.
+    // Whether the list of endpoints was read at least once.
     bool knows_endpoints() const;
 
-    // The views, one for each kind of objects.
+    // The feeds, one for each kind of objects; empty before start().
     std::vector<std::shared_ptr<view_feed>> const& feeds() const;
 
-    // Set before start().
+    // Called when caller limits, the list of endpoints or the announced
+    // versions change. Set before start().
     std::function<void(routing::caller_limits const&)> on_limits;
     std::function<void()> on_endpoints;
     std::function<void()> on_versions;
@@ -38,26 +40,28 @@
         platform::object_kind kind,
         std::chrono::milliseconds wait,
         watch_handlers handlers,
-        own_numbers numbers = {});
+        content_version_readers numbers = {});
     void watch_configuration();
     void watch_endpoints();
     void watch_domains();
     void watch_versions();
-    void adopt(platform::store_object const& object);
-    void take_endpoint(platform::store_object const& object, bool was_lost);
-    void take_version(
+    void adopt_configuration(platform::store_object const& object);
+    void apply_endpoint(platform::store_object const& object, bool was_lost);
+    void apply_version(
         platform::store_object const& object, base::boot_time accepted);
-    // The earliest moment at which what is read now may have come.
-    base::boot_time arrived() const;
-    void take_domain(platform::store_object const& object);
+    // Lower bound for the time at which the data read now arrived: it may have
+    // been queued while this process was paused.
+    base::boot_time earliest_received() const;
+    void apply_domain(platform::store_object const& object);
     void note_return(
         platform::object_kind kind,
         platform::store_mark const& before,
         platform::store_mark const& now);
-    std::function<void(bool, std::string const&)> report_loss(char const* what);
+    std::function<void(bool, std::string const&)>
+    make_loss_logger(char const* what);
 
     std::shared_ptr<entry_context> context;
-    std::vector<std::shared_ptr<view_feed>> kept;
+    std::vector<std::shared_ptr<view_feed>> view_feeds;
     bool endpoints_known = false;
     bool versions_known = false;
     base::boot_time versions_confirmed;
--- a/libs/gateway/include/gateway/event_splitter.hpp
+++ b/libs/gateway/include/gateway/event_splitter.hpp
@@ -10,21 +10,23 @@
 namespace foxtailvale::gateway
 {
 
-// One whole event of a text/event-stream, with the bytes that it came in.
+// One complete event of a text/event-stream, with the bytes it was parsed from.
 struct stream_event
 {
     std::string bytes;
     std::optional<std::uint64_t> id;
 };
 
-// Cuts the bytes of an event stream into whole events. Failure: an endpoint
-// that crashes stops in the middle of an event; passed on, its half would be
-// joined with the next endpoint's bytes. Only whole events leave here.
+// Splits the bytes of an event stream into complete events; an incomplete event
+// is held back until its rest arrives. Failure: an endpoint that crashes stops
+// in the middle of an event; if that fragment were forwarded, the caller would
+// join it with the bytes of the next endpoint.
 struct event_splitter
 {
-    std::string rest;
+    std::string incomplete;
 };
 
+// Adds received bytes and returns the events that are complete by then.
 std::vector<stream_event> split(event_splitter& state, std::string_view data);
 
 } // namespace foxtailvale::gateway
--- a/libs/gateway/include/gateway/peer_link.hpp
+++ b/libs/gateway/include/gateway/peer_link.hpp
@@ -31,67 +31,74 @@
 namespace foxtailvale::gateway
 {
 
-// What an entry exchanges with agents and other entries. It asks agents of its
-// failure domain for reports, and two of each domain which entries ask there,
-// so entries find each other without a register of their own.
+// The datagrams that an entry exchanges with agents and other entries. It
+// subscribes to the reports of the agents of its failure domain, and asks two
+// agents of each domain which entries subscribe there, so that entries find
+// each other without a registry.
 class peer_link : public std::enable_shared_from_this<peer_link>
 {
 public:
     explicit peer_link(std::shared_ptr<entry_context> shared);
 
-    // An error text when the address cannot be bound.
+    // Opens the socket. Returns an error text when the address cannot be bound.
     std::optional<std::string> open();
 
-    // Asks agents for reports and for the entries of their domains anew.
+    // Subscribes to the reports of agents, and asks for the entries of their
+    // domains again.
     void subscribe();
 
-    // Tells the neighbours of requests that were refused since the last time.
-    void tell_refusals();
+    // Sends the neighbours the fingerprints of requests refused since the last
+    // call.
+    void send_refusals();
 
-    // Sends a datagram's bytes to one entry.
+    // Sends the bytes of a datagram to one entry.
     void send(std::string const& entry, std::string const& bytes);
 
-    // Messages about views of the platform, by the sender's IP address. Set
-    // before open().
+    // Handlers for messages about views of the platform, with the sender's IP
+    // address. Set before open().
     std::function<void(std::string const& from, wire::ViewAsk const&)>
         on_view_ask;
     std::function<void(std::string const& from, wire::ViewNotice const&)>
         on_view_notice;
 
-    // Messages about reports of other failure domains, and the domains whose
-    // agents are asked for reports. Set before open().
+    // Handlers for messages about reports of other failure domains, and a
+    // function that returns the domains whose agents this entry subscribes to
+    // itself. Set before open().
     std::function<void(std::string const& from)> on_report_ask;
     std::function<void(std::string const& from, wire::PassedReports const&)>
         on_passed_reports;
-    std::function<std::set<std::string>()> asked_directly;
-    // Entries of the domain were named.
-    std::function<void(std::string const& domain)> on_named;
+    std::function<std::set<std::string>()> directly_polled_domains;
+    // Called when an agent listed entries of the domain.
+    std::function<void(std::string const& domain)> on_entries_listed;
 
 private:
-    // Tells agents what the configuration says of engines.
-    void add_models(
-        google::protobuf::RepeatedPtrField<wire::ServedModel>& told) const;
-    // Addresses of the agents of each failure domain.
+    // Adds the engines' models and the origin from the configuration, for
+    // agents.
+    void add_models(google::protobuf::RepeatedPtrField<wire::ServedModel>&
+                        served_models) const;
+    // Addresses of the agents, by failure domain.
     std::map<std::string, std::vector<net::udp_endpoint>> agents() const;
-    // Asks two agents of each domain, other ones each time.
-    void ask_names(
+    // Asks two agents of each domain for the entries they know, different
+    // agents each time.
+    void request_entry_names(
         std::map<std::string, std::vector<net::udp_endpoint>> const& agents);
-    void take_entries(wire::EntriesNotice const& notice);
+    void handle_entries_notice(wire::EntriesNotice const& notice);
     void
     send_to(std::set<std::string> const& entries, std::string const& bytes);
     void receive(net::udp_endpoint const& source, std::string_view bytes);
-    void take_state(std::string const& agent, wire::EngineState const& state);
-    // Tells an agent who else stands beside engines of its service.
+    void handle_engine_state(
+        std::string const& agent, wire::EngineState const& state);
+    // Sends an agent the list of agents beside engines of its service.
     void
-    tell_fleet(net::udp_endpoint const& agent, wire::FleetAsk const& asked);
-    void take_crash(wire::CrashNotice const& notice);
-    void tell_crash(
+    send_fleet(net::udp_endpoint const& agent, wire::FleetAsk const& asked);
+    void handle_crash_notice(wire::CrashNotice const& notice);
+    void notify_crash(
         request::fingerprint print, std::string const& endpoint, bool answered);
 
     std::shared_ptr<entry_context> context;
     std::shared_ptr<net::datagram_socket> socket;
-    // Questions for names so far.
-    std::size_t names_asked = 0;
+    // Number of requests for entry names sent so far.
+    std::size_t name_requests_sent = 0;
 };
 
 } // namespace foxtailvale::gateway
--- a/libs/gateway/include/gateway/store_watch.hpp
+++ b/libs/gateway/include/gateway/store_watch.hpp
@@ -20,46 +20,48 @@
 namespace foxtailvale::gateway
 {
 
-// What a watch finds; called from the loop.
+// Callbacks of a watch; called from the event loop.
 struct watch_handlers
 {
-    // The whole kind. `was_lost` says that the platform could not be read
-    // before, so that entries may be missing which come back.
+    // A complete listing of the kind. `was_lost` tells that the platform was
+    // unreachable shortly before, so that objects may be missing which will
+    // reappear.
     std::function<void(
         std::vector<platform::store_object> const&, bool was_lost)>
         on_list;
     std::function<void(platform::store_object const&, bool was_lost)> on_change;
-    // All that was accepted before this moment has been handed on.
+    // Everything that the store accepted before `began` has been delivered.
     std::function<void(base::boot_time began)> on_confirmed;
-    // The platform stopped answering this watch, or answers again; why it
-    // does not is said in words.
+    // The platform stopped answering this watch, or answers again; `why` is a
+    // readable reason.
     std::function<void(bool lost, std::string const& why)> on_lost;
-    // A call that began then was answered, or was not.
-    std::function<void(bool answered, base::boot_time began)> on_call;
-    // The store came back from a copy; what it holds now is handed on next.
-    // May be empty.
+    // A request to the store that began at that time was answered, or was not.
+    std::function<void(bool answered, base::boot_time began)> on_request_end;
+    // The store was restored from a copy, which a higher era shows; its current
+    // content is delivered next. May be empty.
     std::function<void(
         platform::store_mark const& before, platform::store_mark const& now)>
-        on_return;
+        on_store_restored;
 };
 
 struct watch_settings
 {
     net::tcp_endpoint store;
     platform::object_kind kind = platform::object_kind::configuration;
-    // How long one watch waits for a change. Its end confirms the view, and a
-    // connection that fell silent is noticed that much later.
+    // How long one watch request waits for a change. Its end confirms the view;
+    // a stalled connection is noticed that much later.
     std::chrono::milliseconds wait{2000};
-    // Time between a change and the next watch, in which more may gather.
+    // Delay between a change and the next watch request, in which further
+    // changes may gather.
     std::chrono::milliseconds pause{0};
     std::uint64_t seed = 1;
 };
 
-// Keeps a view of one kind of objects: lists it, then watches it from the
-// revision that the listing spoke for, and lists anew when the store has
-// dropped that history. When the store has come back from a copy, which a
-// higher era shows, it lists anew and takes no answer of the era before. Alive
-// while one of its operations is pending.
+// Follows one kind of objects: lists it, watches it from the revision of the
+// listing, and lists it again when the store no longer has the history since
+// then. When a higher era shows that the store was restored from a copy, it
+// lists again and rejects answers of earlier eras. The object stays alive while
+// one of its operations is pending.
 class store_watch : public std::enable_shared_from_this<store_watch>
 {
 public:
@@ -73,28 +75,31 @@
     void start();
     void stop();
 
-    // Mark of the answer that is being handed on or was last.
-    platform::store_mark const& mark_read() const;
+    // Position of the answer that is being delivered, or of the last one.
+    platform::store_mark const& last_position() const;
 
-    // The platform could not be read a moment ago: entries may be missing
-    // that come back.
+    // Whether the platform was unreachable shortly before, so that objects may
+    // be missing which will reappear.
     bool was_lost() const;
 
 private:
     void list(std::string const& after);
     void watch();
     void send(net::request const& request, std::chrono::milliseconds limit);
-    // Ends the call when nothing has come on it for so long.
-    void give_up_after(std::chrono::milliseconds limit);
+    // Fails the request when no data has arrived on it for that long.
+    void arm_timeout(std::chrono::milliseconds limit);
     void on_response();
-    // Whether the answer is of the era that this watch is in now.
-    bool take_era();
-    void take_list(platform::store_reply reply);
-    void take_changes(platform::store_reply const& reply);
+    // Whether the answer belongs to the current era. A higher era becomes the
+    // current one and, if the era was known before, starts a new listing.
+    bool accept_era();
+    void handle_list(platform::store_reply reply);
+    void handle_changes(platform::store_reply const& reply);
     void succeed();
-    // The call did not succeed; the store may have been away since then.
+    // Handles a failed request; the store may have been unreachable since
+    // `since`.
     void fail(std::string const& why, base::boot_time since);
-    void next(std::chrono::milliseconds delay);
+    // Sends the next request after the delay.
+    void schedule_next(std::chrono::milliseconds delay);
 
     boost::asio::io_context& loop;
     watch_settings settings;
@@ -103,11 +108,11 @@
     std::shared_ptr<net::client_connection> connection;
     base::random_state random;
     bool stopped = false;
-    bool waiting_to_retry = false;
+    bool delay_pending = false;
     bool watching = false;
-    platform::store_mark mark;
+    platform::store_mark position;
     unsigned status = 0;
-    // Of the answer at hand; zero if it names none.
+    // Era of the answer being read; zero if it gives none.
     std::uint64_t answer_era = 0;
     std::string body;
     base::time_point last_data;
@@ -117,7 +122,7 @@
     base::boot_time list_began;
     std::uint32_t failures = 0;
     std::optional<base::boot_time> lost_since;
-    std::optional<base::boot_time> regained;
+    std::optional<base::boot_time> recovered_at;
 };
 
 } // namespace foxtailvale::gateway
--- a/libs/gateway/include/gateway/traffic.hpp
+++ b/libs/gateway/include/gateway/traffic.hpp
@@ -9,28 +9,28 @@
 #include <string>
 #include <utility>
 
-// How many bytes an entry received from other processes of the system, by kind
-// of message and by where they came from: what crosses the links between
-// failure domains must not grow with the fleet.
+// Counts the bytes that an entry received from other processes of the system,
+// by kind of message and by where they came from: traffic on the links between
+// failure domains must not grow with the size of the fleet.
 namespace foxtailvale::gateway
 {
 
-struct traffic_book
+struct traffic_counts
 {
-    // By kind of message and the sender's IP address, since the last telling.
+    // Bytes by kind of message and sender's IP address, since the last flush.
     std::map<std::pair<std::string, std::string>, std::uint64_t> received;
 };
 
 void note_received(
-    traffic_book& book,
+    traffic_counts& counts,
     std::string const& kind,
     std::string const& sender,
     std::size_t bytes);
 
-// Adds what was received to the counters, by the sender's failure domain: own,
-// other, or unknown while the sender has not been named. Begins anew.
-void tell_traffic(
-    traffic_book& book,
+// Adds the counted bytes to the metrics, by the sender's failure domain: own,
+// other, or unknown while the sender is not listed. Resets the counts.
+void flush_traffic(
+    traffic_counts& counts,
     direct::endpoint_book const& known,
     std::string const& own_domain,
     kernel::metrics& counters);
--- a/libs/gateway/include/gateway/view_feed.hpp
+++ b/libs/gateway/include/gateway/view_feed.hpp
@@ -17,16 +17,19 @@
 namespace foxtailvale::gateway
 {
 
-// Numbers that writers give to objects of a kind, for kinds that have some.
-struct own_numbers
+// Version numbers that writers put into objects, for kinds that have them.
+struct content_version_readers
 {
-    own_number of;
-    // Of what is in force here.
+    // Reads the version number from an object's content.
+    content_version_reader read;
+    // Version number of the content that is active in this process. May be
+    // empty.
     std::function<std::uint64_t()> in_force;
 };
 
-// One kind of the platform's objects: filled by a watch of its own or by pages
-// from another entry, handed to the same handlers either way.
+// The view of one kind of the platform's objects, filled either by its own
+// watch of the store or by pages from another entry. Both sources call the same
+// handlers.
 class view_feed
 {
 public:
@@ -34,7 +37,7 @@
         boost::asio::io_context& event_loop,
         watch_settings chosen,
         watch_handlers callbacks,
-        own_numbers given = {});
+        content_version_readers given = {});
     ~view_feed();
     view_feed(view_feed const&) = delete;
     view_feed& operator=(view_feed const&) = delete;
@@ -44,46 +47,57 @@
 
     platform::object_kind kind() const;
 
-    // The store's mark of the last change that is known here.
-    platform::store_mark const& mark() const;
+    // The store's position (era and revision) of the last change known here.
+    platform::store_mark const& position() const;
 
-    // It holds more than the store has shown since its return from a copy.
+    // Whether it holds objects newer than the store has shown since it was
+    // restored from a copy.
     bool is_ahead() const;
 
-    // The own number of what is in force here; zero where there is none.
+    // Version number of the active content; zero where there is none.
     std::uint64_t in_force() const;
 
-    // Until which moment all that was accepted is known here.
+    // Everything that the store accepted before this time is known here; empty
+    // before the first confirmation.
     std::optional<base::boot_time> confirmed() const;
 
-    // Another entry's view of this mark was confirmed until then. Counts only
-    // if all of it is known here and nothing of a later era is.
-    void
-    confirm_by_peer(platform::store_mark const& mark, base::boot_time until);
+    // Another entry's view at `position` was confirmed until that time. Applies
+    // only if all of that view is known here, and nothing of a later era.
+    void confirm_by_peer(
+        platform::store_mark const& position, base::boot_time until);
 
-    // What changed since the mark, as another entry takes it.
+    // Returns a serialized and compressed page with what changed since the
+    // position, for apply_page() of another entry.
     std::string page_for(platform::store_mark const& known) const;
 
-    // Takes such a page, asked for at that moment; false when it is none.
-    bool take_page(std::string const& bytes, base::boot_time asked);
+    // Applies such a page. Ages in the page count from `requested_at`, when the
+    // page was requested. Returns false when the bytes are not a valid page, or
+    // when a page of a later era is not complete.
+    bool apply_page(std::string const& bytes, base::boot_time requested_at);
 
-    // Takes from a whole page only what is newer by its own number than what is
-    // in force here, whatever the store holds.
-    void take_ahead(std::string const& bytes, base::boot_time asked);
+    // Applies only those objects of a complete page whose version number is
+    // higher than the active one, whatever the store shows. Ignores pages of
+    // another era.
+    void
+    apply_ahead_page(std::string const& bytes, base::boot_time requested_at);
 
-    // Called when something changed. Set before start_watch().
+    // Called when an object changed through the own watch. Set before
+    // start_watch().
     std::function<void()> on_change;
 
 private:
-    watch_handlers own_handlers();
-    void hand_on(wire::ViewPage const& page, base::boot_time asked);
+    // Handlers for the own watch: they update the view, then call the handlers
+    // given to the constructor.
+    watch_handlers wrapped_handlers();
+    // Updates the view from a page and passes its objects to the handlers.
+    void deliver_page(wire::ViewPage const& page, base::boot_time requested_at);
 
     boost::asio::io_context& loop;
     watch_settings settings;
     watch_handlers handlers;
     std::shared_ptr<store_watch> watch;
-    own_numbers numbers;
-    kept_view view;
+    content_version_readers version_readers;
+    cached_view view;
 };
 
 } // namespace foxtailvale::gateway
--- a/libs/gateway/include/gateway/view_relay.hpp
+++ b/libs/gateway/include/gateway/view_relay.hpp
@@ -35,117 +35,130 @@
 namespace foxtailvale::gateway
 {
 
-// Lets few entries watch the platform and the others follow them: notices say
-// how far a watcher has come, and whoever is behind fetches what changed.
+// Lets a few entries watch the platform while the others follow them: notices
+// give each watcher's position, and an entry that is behind fetches what
+// changed.
 //
-// A confirmation is an answer to a question, counted from the question: a
-// datagram that lay unread while this process stood still, or that was late on
-// its way, makes no view look fresher than it is.
+// A view is confirmed only by an answer to a request, and as of the time at
+// which the request was sent: a datagram that lay unread while this process was
+// paused, or that was delayed in transit, makes no view look fresher than it
+// is.
 class view_relay : public std::enable_shared_from_this<view_relay>
 {
 public:
     view_relay(
         std::shared_ptr<entry_context> shared,
-        std::vector<std::shared_ptr<view_feed>> kept);
+        std::vector<std::shared_ptr<view_feed>> view_feeds);
 
-    // An error text when the address for pages cannot be listened on.
+    // Opens the page server and starts following or watching. Returns an error
+    // text when the address for pages cannot be listened on.
     std::optional<std::string> start();
 
-    // Leaves the watching to others; called when the process is to end.
+    // Tells the other entries that this one no longer counts as a watcher;
+    // called at the start of shutdown.
     void retire();
     void stop();
 
-    // Messages of other entries, by their IP addresses.
+    // Handle messages of other entries, given by their IP addresses.
     void handle_ask(std::string const& from, wire::ViewAsk const& ask);
     void handle_notice(std::string const& from, wire::ViewNotice const& notice);
 
-    // Sends a datagram's bytes to an entry. Set before start().
+    // Sends the bytes of a datagram to an entry. Set before start().
     std::function<void(std::string const& entry, std::string const& bytes)>
         send;
 
 private:
-    // What a page is asked for.
+    // What a page is requested for.
     enum class page_use
     {
-        // All that changed.
+        // All changes.
         follow,
-        // Only what is ahead of the store.
+        // Only objects that are newer than what the store shows.
         ahead,
     };
 
     void run_round();
     std::chrono::milliseconds time_to_next_round();
-    void follow_duty();
-    void change_duty();
-    // Every kind of objects was listed or handed over once.
-    bool knows_all() const;
-    // A watcher's word to all.
+    void update_watch_duty();
+    void apply_watch_duty();
+    // Whether every kind of objects was listed or received once.
+    bool has_all_views() const;
+    // Sends a watcher's notice to all entries.
     void announce();
-    void tell_all();
-    // Tells of a change those who hear it from nobody nearer.
-    void tell_change();
-    void tell(std::set<std::string> const& entries);
+    void notify_all();
+    // Sends a notice of a change to entries that receive it from no closer
+    // watcher.
+    void notify_change();
+    void send_notice(std::set<std::string> const& entries);
     void ask_sources();
-    void plan_push();
+    // Sends one notice for all changes that the current event loop handler
+    // makes.
+    void schedule_notice();
     wire::Datagram notice(std::uint64_t token) const;
-    // Entries that start know no agents yet that would name the others.
-    void add_neighbours(wire::ViewNotice& told, wire::ViewAsk const& ask) const;
+    // Adds the entries known in the requester's failure domain. An entry that
+    // has just started knows no agents yet that would list them.
+    void
+    add_neighbours(wire::ViewNotice& answer, wire::ViewAsk const& ask) const;
     bool is_fresh() const;
     view_feed* feed_of(std::uint32_t kind) const;
-    // One that was asked at the start knows nothing yet, or does not watch and
-    // names those that do.
-    void note_unfit_answer(wire::ViewNotice const& notice);
+    // Handles an answer of an entry that knows nothing yet, or that does not
+    // watch and lists entries that do. Used for the requests sent at the start.
+    void note_unusable_answer(wire::ViewNotice const& notice);
     void
     fetch_page(std::string const& from, view_feed const& feed, page_use use);
-    // What another entry has in force, by the writer's own number, though the
-    // store, back from a copy, lacks it.
+    // Fetches objects that another entry has active with a higher version
+    // number, although the store lacks them since it was restored from a copy.
     void fetch_ahead(
         std::string const& from,
         google::protobuf::RepeatedPtrField<wire::ViewMark> const& marks);
-    // Failure: notices arrive and pages do not. Unless every kind is
-    // confirmed, this entry watches for itself.
-    void note_followed(std::uint32_t kind, base::boot_time asked_at);
-    // A page as it is sent: for how many milliseconds it was kept, and itself.
+    // Records that another entry confirmed a kind of objects. Unless every kind
+    // is confirmed, this entry starts to watch for itself. Failure: notices
+    // arrive, but pages do not.
+    void note_followed(std::uint32_t kind, base::boot_time requested_at);
+    // Returns the body of a page answer: for how many milliseconds the page was
+    // cached, a line feed, and the page.
     std::string
-    page_text(view_feed const& feed, platform::store_mark const& after);
-    void take_page(
+    page_body(view_feed const& feed, platform::store_mark const& after);
+    void apply_page(
         std::uint32_t kind,
         page_use use,
         std::string_view text,
-        base::boot_time asked_at);
-    std::shared_ptr<net::http_server> make_page_door();
+        base::boot_time requested_at);
+    std::shared_ptr<net::http_server> make_page_server();
 
-    // The last page made of a kind of objects.
-    struct kept_page
+    // The page last built for a kind of objects.
+    struct cached_page
     {
         platform::store_mark after;
-        platform::store_mark mark;
+        platform::store_mark position;
         base::boot_time made;
         std::string bytes;
     };
 
     std::shared_ptr<entry_context> context;
     std::vector<std::shared_ptr<view_feed>> feeds;
-    std::shared_ptr<net::http_server> page_door;
+    std::shared_ptr<net::http_server> page_server;
     direct::watch_duty duty;
     boost::asio::steady_timer timer;
     bool stopped = false;
     bool retired = false;
-    bool push_planned = false;
-    // It has followed another before it knew everything.
+    bool notice_scheduled = false;
+    // Whether this entry has already switched from its first listing to
+    // following another one.
     bool followed_at_start = false;
     std::uint64_t rounds = 0;
-    bool is_in_step = false;
-    // Questions that are not answered yet, and when they were sent.
-    std::map<std::uint64_t, base::boot_time> asked;
+    // The first round after start was given a random length.
+    bool is_staggered = false;
+    // Requests that are not answered yet, by token, and when they were sent.
+    std::map<std::uint64_t, base::boot_time> pending_asks;
     std::uint64_t last_token = 0;
-    // Entries that asked this one, by failure domain.
-    std::map<std::string, std::set<std::string>> askers;
-    std::map<std::uint32_t, kept_page> pages;
-    // Kinds whose page is on its way.
+    // Entries that sent requests to this one, by failure domain.
+    std::map<std::string, std::set<std::string>> requesters;
+    std::map<std::uint32_t, cached_page> pages;
+    // Kinds of objects whose page is being fetched.
     std::map<std::uint32_t, bool> fetching;
-    // When the question was sent by whose answer a kind was last confirmed.
-    std::map<std::uint32_t, base::boot_time> followed;
+    // When the request was sent whose answer last confirmed a kind.
+    std::map<std::uint32_t, base::boot_time> confirmed_by_peer_at;
 };
 
 } // namespace foxtailvale::gateway
--- a/libs/gateway/src/call.cpp
+++ b/libs/gateway/src/call.cpp
@@ -18,12 +18,12 @@
 using std::chrono::milliseconds;
 using clock = std::chrono::steady_clock;
 
-// Taken off the time that a withdrawn key may be used: a watch may hear nothing
-// for a second while the platform drops its history.
-constexpr milliseconds stale_margin{1100};
+// Subtracted from the time for which a withdrawn key may be used: a watch may
+// receive nothing for a second while the platform discards its history.
+constexpr milliseconds staleness_margin{1100};
 
-// Callers that name no time and routes without one.
-constexpr milliseconds longest_time{60000};
+// For requests whose caller and route set no time limit.
+constexpr milliseconds default_timeout{60000};
 
 std::string owner_name(routing::permission const& allowed)
 {
@@ -38,9 +38,9 @@
     net::request received)
     : context(std::move(shared)), session(std::move(caller)),
       request(std::move(received)),
-      said(platform::read_caller_request(this->request)),
+      parsed(platform::read_caller_request(this->request)),
       configuration(this->context->configuration),
-      looked_at(this->configuration), timer(this->context->loop),
+      checked_configuration(this->configuration), timer(this->context->loop),
       arrived(clock::now() - this->session->time_since_last_byte())
 {
 }
@@ -56,24 +56,25 @@
     {
         return;
     }
-    auto& window = this->context->repeats[this->service_name];
+    auto& window = this->context->retry_windows[this->service_name];
     direct::note_request(window, this->arrived);
-    // What cannot be on time any more does not go before what can.
-    auto const stands_back = this->returned && this->has_line();
-    if (!stands_back && this->place(true))
+    // A request that can no longer meet its goal does not overtake queued ones
+    // that can.
+    auto const yields_to_queue = this->goal_expired && this->has_queue();
+    if (!yields_to_queue && this->place(true))
     {
         return;
     }
     this->wait();
 }
 
-bool call::has_line() const
+bool call::has_queue() const
 {
     auto const found = this->context->waiting.find(this->service_name);
     return found != this->context->waiting.end() && !found->second.empty();
 }
 
-bool call::has_returned(milliseconds goal) const
+bool call::has_goal_expired(milliseconds goal) const
 {
     auto const refused = request::refused_at(
         this->context->refusals, this->print, this->arrived);
@@ -83,28 +84,28 @@
 bool call::is_still_allowed()
 {
     auto const newest = this->context->configuration;
-    if (newest == this->looked_at)
+    if (newest == this->checked_configuration)
     {
         return true;
     }
-    // The view's age counts for a key at the request's arrival only.
+    // The age of the view matters for a key only when the request arrives.
     auto const permitted = routing::permit(
-        newest.get(), {this->said.host, this->request.target, this->said.key},
-        {});
+        newest.get(),
+        {this->parsed.host, this->request.target, this->parsed.key}, {});
     if (permitted.has_error() ||
         owner_name(permitted.value()) != owner_name(this->allowed))
     {
         return false;
     }
     this->allowed.regions = permitted.value().regions;
-    this->looked_at = newest;
+    this->checked_configuration = newest;
     return true;
 }
 
 bool call::admit()
 {
     this->print = base::stable_hash(
-        this->request.target + '\n' + this->said.key + '\n' +
+        this->request.target + '\n' + this->parsed.key + '\n' +
         this->request.body);
     auto const age = this->context->confirmed
                          ? base::boot_now() - *this->context->confirmed
@@ -115,11 +116,12 @@
     }
     routing::view_limits limits;
     auto const bound = this->context->settings.promised.key_withdrawal;
-    limits.for_keys = bound - stale_margin;
+    limits.for_keys = bound - staleness_margin;
     limits.for_denials = limits.for_keys;
     auto const permitted = routing::permit(
         this->configuration.get(),
-        {this->said.host, this->request.target, this->said.key, age}, limits);
+        {this->parsed.host, this->request.target, this->parsed.key, age},
+        limits);
     if (permitted.has_error())
     {
         this->refuse(permitted.error().kind, "admission");
@@ -127,7 +129,7 @@
     }
     this->allowed = permitted.value();
     auto const& chosen = *this->allowed.chosen;
-    this->service_name = routing::choose_service(chosen, this->said.attempt);
+    this->service_name = routing::choose_service(chosen, this->parsed.attempt);
     auto const found = this->configuration->services.find(this->service_name);
     if (found == this->configuration->services.end())
     {
@@ -137,11 +139,11 @@
     this->service = &found->second;
     if (request::is_suspect(this->context->suspects, this->print))
     {
-        this->refuse(error_kind::suspect_request, "crashed endpoints");
+        this->refuse(error_kind::suspect_request, "request crashed endpoints");
         return false;
     }
-    this->last_event = this->said.last_event;
-    auto time = this->said.patience.value_or(longest_time);
+    this->last_event = this->parsed.last_event;
+    auto time = this->parsed.patience.value_or(default_timeout);
     if (chosen.timeout.count() > 0)
     {
         time = std::min(time, chosen.timeout);
@@ -149,13 +151,17 @@
     this->deadline = this->arrived + time;
     if (clock::now() >= this->deadline)
     {
-        this->refuse(error_kind::deadline_unreachable, "lay unread");
+        this->refuse(
+            error_kind::deadline_unreachable,
+            "deadline passed before the request was read");
         return false;
     }
     auto const goal = chosen.goal.count() > 0 ? chosen.goal : time;
-    this->returned = this->has_returned(goal);
-    auto const& first_answer = this->context->first_answer[this->service_name];
-    this->wait_until = this->arrived + direct::longest_wait(goal, first_answer);
+    this->goal_expired = this->has_goal_expired(goal);
+    auto const& time_to_first_event =
+        this->context->time_to_first_event[this->service_name];
+    this->wait_until =
+        this->arrived + direct::longest_wait(goal, time_to_first_event);
     this->wait_until = std::min(this->wait_until, this->deadline);
     return true;
 }
@@ -165,14 +171,14 @@
     auto const& bounds = this->context->settings.promised;
     direct::placement_ask ask;
     ask.service = this->service_name;
-    ask.model = this->service->engine ? this->said.model : std::string();
+    ask.model = this->service->engine ? this->parsed.model : std::string();
     ask.own_domain = this->context->settings.failure_domain;
     ask.regions = this->allowed.regions;
     ask.tried = this->tried;
     ask.cold.per_second = this->service->cold_per_second * bounds.cold_factor;
     ask.cold.tolerance = bounds.cold_tolerance;
     ask.entries = direct::sharers(this->context->entries);
-    if (this->returned && this->service->engine)
+    if (this->goal_expired && this->service->engine)
     {
         ask.depth = direct::depth_for_returned(this->service->engine->slots);
     }
@@ -186,13 +192,13 @@
             this->context->entries,
             direct::count_of(this->context->book, this->service_name));
     }
-    // One answer comes from one version's weights.
+    // One answer comes from the weights of a single version.
     ask.version = this->answer_begun ? this->version : 0;
     if (this->service->engine)
     {
         ask.expected = direct::expected_time(
-            *this->service->engine, this->said.prompt_tokens,
-            this->said.expected_tokens);
+            *this->service->engine, this->parsed.prompt_tokens,
+            this->parsed.expected_tokens);
     }
     return ask;
 }
@@ -201,12 +207,13 @@
 {
     if (!this->is_still_allowed())
     {
-        // Not denied for good: it was allowed when the caller sent it.
+        // Not refused as forbidden: the request was allowed when the caller
+        // sent it.
         this->fail(
             this->ran_so_far == ran_state::no
                 ? error_kind::stale_configuration
                 : direct::final_error(this->ran_so_far, false),
-            "no longer allowed");
+            "request is no longer allowed");
         return true;
     }
     auto const ask = this->placement();
@@ -233,41 +240,41 @@
 
 void call::wait()
 {
-    this->place_in_line = {
-        this->allowed.priority, this->returned, this->wait_until,
+    this->position_in_queue = {
+        this->allowed.priority, this->goal_expired, this->wait_until,
         ++this->context->arrivals};
-    this->context->waiting[this->service_name][this->place_in_line] =
+    this->context->waiting[this->service_name][this->position_in_queue] =
         this->shared_from_this();
-    this->in_line = true;
+    this->is_queued = true;
     this->set_timer();
 }
 
-void call::leave_line()
+void call::leave_queue()
 {
-    if (!this->in_line)
+    if (!this->is_queued)
     {
         return;
     }
-    this->in_line = false;
-    this->context->waiting[this->service_name].erase(this->place_in_line);
+    this->is_queued = false;
+    this->context->waiting[this->service_name].erase(this->position_in_queue);
 }
 
 bool call::try_waiting()
 {
     auto const keep = this->shared_from_this();
-    // After a pause of the process the room that others left is seen before
-    // this request's timer.
+    // After a pause of the process, freed capacity may be handled before this
+    // request's timer.
     if (clock::now() >= this->wait_until)
     {
-        this->end_waiting();
+        this->end_wait();
         return true;
     }
     return this->place(true);
 }
 
-void call::end_waiting()
+void call::end_wait()
 {
-    this->leave_line();
+    this->leave_queue();
     this->fail(
         direct::final_error(this->ran_so_far, clock::now() >= this->deadline),
         "waited for room");
@@ -282,26 +289,28 @@
 void call::set_timer()
 {
     auto next = this->deadline;
-    if (this->in_line)
+    if (this->is_queued)
     {
         next = std::min(next, this->wait_until);
     }
     if (this->current)
     {
-        // An endpoint may be lost at any moment, which brings the limit
-        // forward; it is looked at anew this often.
-        constexpr milliseconds look_again{150};
+        // The endpoint may be lost at any time, which moves the limit forward,
+        // so the limit is computed again at this interval.
+        constexpr milliseconds recheck_interval{150};
         if (auto const limit = this->attempt_limit())
         {
-            next = std::min(next, std::min(*limit, clock::now() + look_again));
+            next = std::min(
+                next, std::min(*limit, clock::now() + recheck_interval));
         }
         if (this->service->engine && !this->current->facts.head_seen)
         {
-            // A version may be named meanwhile, which ends the one in use.
-            constexpr milliseconds look_for_versions{1000};
-            next = std::min(next, clock::now() + look_for_versions);
+            // A new version may be announced meanwhile, which retires the one
+            // in use.
+            constexpr milliseconds version_check_interval{1000};
+            next = std::min(next, clock::now() + version_check_interval);
         }
-        if (auto const limit = this->beginning_limit())
+        if (auto const limit = this->start_limit())
         {
             next = std::min(next, *limit);
         }
@@ -320,9 +329,9 @@
 void call::on_timer()
 {
     auto const now = clock::now();
-    if (this->in_line && now >= this->wait_until)
+    if (this->is_queued && now >= this->wait_until)
     {
-        this->end_waiting();
+        this->end_wait();
         return;
     }
     if (!this->current)
@@ -330,12 +339,12 @@
         this->set_timer();
         return;
     }
-    auto const connected = this->current->is_handed_on;
+    auto const connected = this->current->is_dispatched;
     if (now >= this->deadline)
     {
         auto const ran = connected ? ran_state::unknown : ran_state::no;
-        // Silence up to the deadline tells against the endpoint; events that
-        // still came do not.
+        // An endpoint that sent nothing for the stall time before the deadline
+        // counts as faulty; one that was still sending does not.
         auto const silent = now - this->current->last_byte > direct::stall_time;
         this->end_attempt(
             silent ? direct::use_end::faulty : direct::use_end::cancelled);
@@ -352,19 +361,19 @@
         this->after_failure(ran, "endpoint is silent");
         return;
     }
-    auto const begins_by = this->beginning_limit();
-    if (begins_by && now >= *begins_by)
+    auto const start_by = this->start_limit();
+    if (start_by && now >= *start_by)
     {
         this->end_attempt(direct::use_end::cancelled);
         this->after_failure(
             connected ? ran_state::unknown : ran_state::no,
-            "version ended before it began");
+            "version was retired before the request started");
         return;
     }
     this->set_timer();
 }
 
-bool call::endpoint_is_lost() const
+bool call::is_endpoint_lost() const
 {
     auto const& known = this->context->book.endpoints;
     auto const found = known.find(this->current->endpoint);
@@ -373,11 +382,11 @@
 
 std::optional<base::time_point> call::attempt_limit() const
 {
-    auto const& now_running = *this->current;
+    auto const& running_attempt = *this->current;
     auto const& chosen = *this->allowed.chosen;
-    if (!now_running.connection->is_open())
+    if (!running_attempt.connection->is_open())
     {
-        return now_running.begun + connect_limit;
+        return running_attempt.begun + connect_limit;
     }
     return direct::give_up_at(
         {.repeats = chosen.repeats,
@@ -386,21 +395,21 @@
          .gap_goal = chosen.gap_goal,
          .runs = this->runs,
          .most_attempts = chosen.most_attempts,
-         .events = now_running.events_sent,
-         .begun = now_running.begun,
-         .last_byte = now_running.last_byte,
-         .caller_heard = this->last_passed.value_or(this->arrived),
-         .lost = this->endpoint_is_lost()});
+         .events = running_attempt.events_sent,
+         .begun = running_attempt.begun,
+         .last_byte = running_attempt.last_byte,
+         .caller_heard = this->last_forwarded.value_or(this->arrived),
+         .lost = this->is_endpoint_lost()});
 }
 
-std::optional<base::time_point> call::beginning_limit() const
+std::optional<base::time_point> call::start_limit() const
 {
     if (!this->service->engine || this->current->facts.head_seen)
     {
         return std::nullopt;
     }
     return direct::must_begin_by(
-        this->context->book, this->said.model, this->version,
+        this->context->book, this->parsed.model, this->version,
         this->current->handed_deadline);
 }
 
@@ -411,7 +420,7 @@
     {
         return;
     }
-    this->leave_line();
+    this->leave_queue();
     if (this->current)
     {
         this->end_attempt(direct::use_end::cancelled);
--- a/libs/gateway/src/call.hpp
+++ b/libs/gateway/src/call.hpp
@@ -17,13 +17,14 @@
 namespace foxtailvale::gateway
 {
 
-// A connection on one machine or across a region opens within milliseconds; a
-// lost opening packet is sent again after a second. One that took longer to
-// open is not written to: after a pause of the process its opening is seen
-// before any news, and what was decided before the pause may no longer hold.
+// Time allowed for opening a connection to an endpoint. Within a machine or a
+// region one opens within milliseconds; a lost SYN packet is sent again after a
+// second. A connection that took longer to open is not written to: after a
+// pause of the process the opened connection is seen before any received
+// update, and what was decided before the pause may no longer hold.
 inline constexpr std::chrono::milliseconds connect_limit{400};
 
-// One attempt of a request at an endpoint.
+// One attempt to run a request at an endpoint.
 struct endpoint_attempt
 {
     std::string endpoint;
@@ -31,38 +32,38 @@
     std::shared_ptr<net::client_connection> connection;
     direct::attempt_facts facts;
     net::response_head head;
-    platform::endpoint_head said;
+    platform::endpoint_head parsed;
     std::string body;
     event_splitter events;
     bool is_stream = false;
     base::time_point handed_deadline;
-    // Its bytes were given to the connection.
-    bool is_handed_on = false;
-    // Events of this attempt that were passed on.
+    // The request's bytes were passed to the connection.
+    bool is_dispatched = false;
+    // Number of events of this attempt that were forwarded to the caller.
     std::uint32_t events_sent = 0;
     base::time_point begun;
-    // The same moment, on the clock that goes on while the machine is
-    // suspended.
+    // The time of `begun` on the boot clock, which continues while the machine
+    // is suspended.
     base::boot_time decided;
     base::time_point last_byte;
     base::time_point last_event;
 };
 
-// What was expected of the last attempt, and what came of it. Outlives the
-// attempt, as its end is told afterwards.
-struct attempt_sight
+// Expected and actual timing of the last attempt. Outlives the attempt, as the
+// result is logged afterwards.
+struct attempt_observation
 {
     direct::expectation expected;
     base::time_point sent;
-    // When the first event came, and how long before the end of the version,
-    // as known then.
+    // When the first event arrived, and how long that was before the version's
+    // retirement as known then.
     std::optional<base::time_point> begun;
     std::optional<base::duration> before_end;
 };
 
-// One request of a caller on its way through the entry: admitted, placed or
-// waiting, sent to an endpoint, answered. Alive while it waits, runs or its
-// timer is set.
+// One request of a caller from arrival to answer: admitted, placed or queued,
+// sent to an endpoint and answered. The object stays alive while it is queued
+// or running or its timer is set.
 class call : public std::enable_shared_from_this<call>
 {
 public:
@@ -73,64 +74,78 @@
 
     void start();
 
-    // Tries to place the waiting request; false when there is still no room.
+    // Tries to place the queued request; returns false when there is still no
+    // capacity.
     bool try_waiting();
 
 private:
+    // Checks permission, service, suspects and deadline. Answers with a refusal
+    // and returns false when one of them rules the request out.
     bool admit();
-    // Looks again, where another configuration is in force than when it was
-    // looked at last. Failure: a key was taken away while a request waited, and
-    // the permission from its arrival let it be run seconds later.
+    // Checks the permission again if the configuration changed since the last
+    // check. Failure: a key was withdrawn while a request waited, and the
+    // permission from its arrival let it run seconds later.
     bool is_still_allowed();
-    // It was refused before, so long ago that its goal is past.
-    bool has_returned(std::chrono::milliseconds goal) const;
-    bool has_line() const;
+    // Whether the request was refused before, longer ago than its goal.
+    bool has_goal_expired(std::chrono::milliseconds goal) const;
+    bool has_queue() const;
+    // Sends the request to an endpoint or refuses it. Returns false when it
+    // should wait for capacity, which `may_wait` allows.
     bool place(bool may_wait);
     direct::placement_ask placement() const;
     void wait();
-    void leave_line();
-    // It has waited for as long as it may.
-    void end_waiting();
+    void leave_queue();
+    // Refuses the request because it has waited for the longest time allowed.
+    void end_wait();
     void send(direct::choice const& chosen);
-    // The bytes for the attempt's endpoint, with the time that is left now;
-    // nothing when it is over or the connection took too long to open.
+    // Returns the bytes for the attempt's endpoint, with the time that is left
+    // now; nothing when the time is up or the connection took too long to open.
     std::optional<std::string> dispatch(std::uint64_t number);
     net::head_verdict
     on_head(std::uint64_t number, net::response_head const& head);
     void on_data(std::uint64_t number, std::string_view data);
+    // Forwards complete events that the caller has not received yet.
     void on_events(std::string_view data);
-    // Tells what is expected of a request that goes to an older version.
+    // Records the expected timing of an attempt, and logs it for one on an
+    // older version.
     void note_placed(direct::choice const& chosen);
-    // Measures the beginning of an attempt by its first event.
-    void note_begun();
-    // Adds when the last attempt was sent, and how long ago its endpoint and
-    // the agent beside it last showed life.
-    void add_endpoint(nlohmann::json& fields) const;
-    // Adds what came of an attempt that note_placed() told of.
-    void add_beginning(nlohmann::json& fields) const;
-    // Counts an event that is passed on.
+    // Records the first event of an attempt.
+    void note_first_event();
+    // Adds fields with when the last attempt was sent, and how long ago its
+    // endpoint and the agent beside it last sent anything.
+    void add_endpoint_state(nlohmann::json& fields) const;
+    // Adds fields with the actual timing of an attempt that note_placed()
+    // logged.
+    void add_first_event(nlohmann::json& fields) const;
+    // Records that an event is forwarded to the caller.
     void note_event();
     void on_end(std::uint64_t number, net::exchange_result const& result);
     bool is_current(std::uint64_t number) const;
     void end_attempt(direct::use_end how);
+    // Records a lost answer and checks whether the endpoint is still reachable.
     void note_cut();
+    // Sends the request again if that is allowed, or fails it.
     void after_failure(base::ran_state ran, char const* reason);
     void answer();
     void begin_answer();
     void note_first_answer();
+    // Answers with the error's status; for requests whose answer has not begun.
     void refuse(base::error_kind kind, char const* reason);
+    // Refuses the request, or aborts its answer if that has begun.
     void fail(base::error_kind kind, char const* reason);
-    void cut(char const* reason);
+    // Aborts an answer that has begun.
+    void cut_answer(char const* reason);
     void finish();
     void on_caller_gone();
     void set_timer();
     void on_timer();
-    // Whether the endpoint of the attempt sends to nobody any more.
-    bool endpoint_is_lost() const;
+    // Whether the attempt's endpoint is no longer listed or no longer sends to
+    // any entry.
+    bool is_endpoint_lost() const;
     std::optional<base::time_point> attempt_limit() const;
-    // Until when the attempt must have begun; nothing when it has, or may begin
-    // at any time.
-    std::optional<base::time_point> beginning_limit() const;
+    // Time by which the endpoint must have started the request; nothing when it
+    // has, or when no limit applies.
+    std::optional<base::time_point> start_limit() const;
     std::chrono::milliseconds time_left() const;
     std::chrono::milliseconds retry_after() const;
     void log(kernel::event_id event, base::error_kind kind, char const* reason)
@@ -140,39 +155,43 @@
     std::shared_ptr<entry_context> context;
     std::shared_ptr<net::server_session> session;
     net::request request;
-    platform::caller_request said;
+    platform::caller_request parsed;
     std::shared_ptr<routing::configuration const> configuration;
-    std::shared_ptr<routing::configuration const> looked_at;
+    // The configuration against which permission was last checked.
+    std::shared_ptr<routing::configuration const> checked_configuration;
     routing::permission allowed;
     std::string service_name;
     routing::service const* service = nullptr;
     boost::asio::steady_timer timer;
     base::time_point arrived;
-    // When it was sent to an endpoint first, and when its answer began.
+    // When the request was first sent to an endpoint, and when its answer
+    // began.
     std::optional<base::time_point> first_sent;
     std::optional<base::time_point> first_answered;
-    // When an event was passed on last, of any attempt.
-    std::optional<base::time_point> last_passed;
+    // When an event of any attempt was last forwarded.
+    std::optional<base::time_point> last_forwarded;
     base::time_point deadline;
     base::time_point wait_until;
-    waiting_place place_in_line;
-    bool in_line = false;
-    // The caller has come back after a refusal and its goal is past.
-    bool returned = false;
+    queue_position position_in_queue;
+    bool is_queued = false;
+    // The caller sent the request again after a refusal, and its goal has
+    // passed since.
+    bool goal_expired = false;
     bool done = false;
-    // The endpoint that it was sent to last.
+    // The endpoint to which the request was last sent.
     std::string last_endpoint;
     std::optional<endpoint_attempt> current;
-    std::optional<attempt_sight> sight;
+    std::optional<attempt_observation> observation;
     std::uint64_t attempt_number = 0;
     std::set<std::string> tried;
     std::uint32_t sends = 0;
     std::uint32_t runs = 0;
     base::ran_state ran_so_far = base::ran_state::no;
-    // The answer's head has gone to the caller.
+    // The head of the answer was sent to the caller.
     bool answer_begun = false;
     std::optional<std::uint64_t> last_event;
     std::uint64_t version = 0;
+    // Fingerprint of target, key and body.
     request::fingerprint print = 0;
 };
 
--- a/libs/gateway/src/call_attempt.cpp
+++ b/libs/gateway/src/call_attempt.cpp
@@ -18,28 +18,30 @@
 using std::chrono::milliseconds;
 using clock = std::chrono::steady_clock;
 
-// Idle time of a connection for requests that may not run twice: a reset that
-// crosses one of them cannot be told from a lost answer.
-constexpr milliseconds fresh_connection{400};
-constexpr milliseconds any_connection{60000};
+// Maximum idle time of a reused connection for requests that must not run
+// twice: a connection reset that crosses such a request cannot be told from a
+// lost answer.
+constexpr milliseconds max_idle_non_idempotent{400};
+constexpr milliseconds max_idle_repeatable{60000};
 
-constexpr std::size_t most_body_bytes = 16UL * 1024 * 1024;
+constexpr std::size_t max_body_bytes = 16UL * 1024 * 1024;
 
 } // namespace
 
 void call::send(direct::choice const& chosen)
 {
-    this->leave_line();
+    this->leave_queue();
     auto const& target = chosen.chosen->listed;
     auto const now = clock::now();
-    auto const strict =
+    auto const is_non_idempotent =
         this->allowed.chosen->repeats == repetition::non_idempotent;
     auto connection = this->context->pool.take(
-        target.address, strict ? fresh_connection : any_connection);
+        target.address,
+        is_non_idempotent ? max_idle_non_idempotent : max_idle_repeatable);
     if (!connection)
     {
         this->tried.insert(target.id);
-        this->after_failure(ran_state::no, "address cannot be read");
+        this->after_failure(ran_state::no, "endpoint address cannot be parsed");
         return;
     }
     ++this->sends;
@@ -100,7 +102,7 @@
     {
         return std::nullopt;
     }
-    this->current->is_handed_on = true;
+    this->current->is_dispatched = true;
     platform::dispatch added;
     added.instance = this->current->endpoint;
     added.workspace =
@@ -124,25 +126,27 @@
     {
         return net::head_verdict::skip;
     }
-    auto& now_running = *this->current;
+    auto& running_attempt = *this->current;
     auto const read = platform::read_endpoint_head(head);
-    if (!read.attempt.empty() && read.attempt != this->said.attempt)
+    if (!read.attempt.empty() && read.attempt != this->parsed.attempt)
     {
-        // The late answer of an earlier request on this connection.
+        // The late answer to an earlier request on this connection.
         this->context->counters.count("foxtailvale_foreign_answers_total", {});
         return net::head_verdict::skip;
     }
-    now_running.last_byte = clock::now();
+    running_attempt.last_byte = clock::now();
     direct::note_heard(
-        this->context->book, now_running.endpoint, now_running.last_byte);
-    now_running.head = head;
-    now_running.said = read;
-    now_running.facts.head_seen = true;
-    now_running.facts.status = read.status;
-    now_running.facts.says_not_run = read.says_not_run;
-    now_running.facts.sealed = read.sealed && !read.attempt.empty();
-    now_running.is_stream = this->allowed.chosen->streams &&
-                            now_running.facts.sealed && is_success(read.status);
+        this->context->book, running_attempt.endpoint,
+        running_attempt.last_byte);
+    running_attempt.head = head;
+    running_attempt.parsed = read;
+    running_attempt.facts.head_seen = true;
+    running_attempt.facts.status = read.status;
+    running_attempt.facts.says_not_run = read.says_not_run;
+    running_attempt.facts.sealed = read.sealed && !read.attempt.empty();
+    running_attempt.is_stream = this->allowed.chosen->streams &&
+                                running_attempt.facts.sealed &&
+                                is_success(read.status);
     return net::head_verdict::take;
 }
 
@@ -152,17 +156,18 @@
     {
         return;
     }
-    auto& now_running = *this->current;
-    now_running.last_byte = clock::now();
+    auto& running_attempt = *this->current;
+    running_attempt.last_byte = clock::now();
     direct::note_heard(
-        this->context->book, now_running.endpoint, now_running.last_byte);
-    if (now_running.is_stream)
+        this->context->book, running_attempt.endpoint,
+        running_attempt.last_byte);
+    if (running_attempt.is_stream)
     {
         this->on_events(data);
         return;
     }
-    now_running.body.append(data);
-    if (now_running.body.size() > most_body_bytes)
+    running_attempt.body.append(data);
+    if (running_attempt.body.size() > max_body_bytes)
     {
         this->end_attempt(direct::use_end::faulty);
         this->after_failure(ran_state::yes, "answer is too large");
@@ -174,7 +179,7 @@
     std::string passed;
     for (auto const& event : split(this->current->events, data))
     {
-        this->note_begun();
+        this->note_first_event();
         if (event.id)
         {
             if (this->last_event && *event.id <= *this->last_event)
@@ -186,7 +191,8 @@
             if (*event.id != expected)
             {
                 this->end_attempt(direct::use_end::faulty);
-                this->after_failure(ran_state::yes, "events are missing");
+                this->after_failure(
+                    ran_state::yes, "stream events are missing");
                 return;
             }
             this->last_event = event.id;
@@ -204,18 +210,18 @@
 
 void call::note_event()
 {
-    auto& now_running = *this->current;
+    auto& running_attempt = *this->current;
     auto const now = clock::now();
-    if (now_running.events_sent > 0)
+    if (running_attempt.events_sent > 0)
     {
         this->context->counters.observe(
             "foxtailvale_event_gap_ms",
             std::chrono::duration_cast<milliseconds>(
-                now - now_running.last_event));
+                now - running_attempt.last_event));
     }
-    now_running.last_event = now;
-    this->last_passed = now;
-    ++now_running.events_sent;
+    running_attempt.last_event = now;
+    this->last_forwarded = now;
+    ++running_attempt.events_sent;
 }
 
 void call::on_end(std::uint64_t number, net::exchange_result const& result)
@@ -225,12 +231,12 @@
         return;
     }
     auto const keep = this->shared_from_this();
-    auto& now_running = *this->current;
-    now_running.facts.written = result.written;
-    now_running.facts.whole =
-        result.end == net::exchange_end::whole &&
-        (!now_running.is_stream || now_running.events.rest.empty());
-    auto const facts = now_running.facts;
+    auto& running_attempt = *this->current;
+    running_attempt.facts.written = result.written;
+    running_attempt.facts.whole = result.end == net::exchange_end::whole &&
+                                  (!running_attempt.is_stream ||
+                                   running_attempt.events.incomplete.empty());
+    auto const facts = running_attempt.facts;
     auto const ran = direct::judge_run(facts);
     if (direct::is_answer(facts) && !is_promise(facts.status))
     {
@@ -239,27 +245,28 @@
     }
     if (result.end == net::exchange_end::whole)
     {
-        auto const misdirected = now_running.said.misdirected;
+        auto const misdirected = running_attempt.parsed.misdirected;
         this->end_attempt(
             ran != ran_state::no ? direct::use_end::faulty
             : misdirected        ? direct::use_end::misdirected
                                  : direct::use_end::declined);
         this->after_failure(
             ran, ran == ran_state::no ? "endpoint declined"
-                                      : "answer is not the endpoint's");
+                                      : "answer is not from the endpoint");
         return;
     }
     if (result.end == net::exchange_end::withheld)
     {
         this->end_attempt(direct::use_end::cancelled);
-        this->after_failure(ran_state::no, "time was up before it was written");
+        this->after_failure(
+            ran_state::no, "deadline passed before the request was written");
         return;
     }
     if (!result.written)
     {
-        note_gone(*this->context, now_running.endpoint);
+        note_gone(*this->context, running_attempt.endpoint);
         this->end_attempt(direct::use_end::not_connected);
-        this->after_failure(ran_state::no, "no connection");
+        this->after_failure(ran_state::no, "connection to the endpoint failed");
         return;
     }
     this->note_cut();
@@ -271,7 +278,7 @@
 {
     if (this->current->events_sent > 0 || this->current->facts.head_seen)
     {
-        // What crashes an endpoint does so as it begins to run.
+        // A request that crashes an endpoint does so when it starts to run.
         return;
     }
     direct::note_cut(
@@ -329,14 +336,14 @@
     }
     auto const& bounds = this->context->settings.promised;
     if (!direct::spend_repeat(
-            this->context->repeats[this->service_name],
+            this->context->retry_windows[this->service_name],
             {bounds.retry_ratio, bounds.retry_window, bounds.retry_slack},
             direct::sharers(this->context->entries), clock::now()))
     {
         this->fail(
             this->ran_so_far == ran_state::no ? error_kind::retry_budget_spent
                                               : error_kind::endpoint_lost,
-            "no repeat left");
+            "retry budget is spent");
         return;
     }
     this->context->counters.count_retry(
--- a/libs/gateway/src/call_end.cpp
+++ b/libs/gateway/src/call_end.cpp
@@ -27,7 +27,7 @@
     if (this->sends == 1)
     {
         request::note(
-            this->context->first_answer[this->service_name],
+            this->context->time_to_first_event[this->service_name],
             std::chrono::duration_cast<std::chrono::microseconds>(
                 now - this->current->begun));
     }
@@ -42,27 +42,28 @@
     this->answer_begun = true;
     this->note_first_answer();
     this->session->begin_stream(
-        this->current->said.status,
+        this->current->parsed.status,
         platform::caller_fields(this->current->head));
 }
 
 void call::answer()
 {
-    auto const& now_running = *this->current;
-    auto const status = now_running.said.status;
-    // An endpoint's own failure may be tried elsewhere where that is allowed.
+    auto const& running_attempt = *this->current;
+    auto const status = running_attempt.parsed.status;
+    // A failure reported by the endpoint may be retried elsewhere if the route
+    // allows it.
     if (!is_success(status) && status >= 500 && !this->answer_begun &&
         this->allowed.chosen->repeats != repetition::non_idempotent &&
         this->runs + 1 < this->allowed.chosen->most_attempts)
     {
-        auto const failed = now_running;
+        auto const failed = running_attempt;
         this->end_attempt(direct::use_end::faulty);
         ++this->runs;
         this->ran_so_far = ran_state::yes;
         auto const spent =
             this->time_left() > milliseconds(0) && this->is_still_allowed() &&
             direct::spend_repeat(
-                this->context->repeats[this->service_name],
+                this->context->retry_windows[this->service_name],
                 {this->context->settings.promised.retry_ratio,
                  this->context->settings.promised.retry_window,
                  this->context->settings.promised.retry_slack},
@@ -77,36 +78,38 @@
             this->send(chosen);
             return;
         }
-        this->log_answer(failed.said.status);
+        this->log_answer(failed.parsed.status);
         this->session->respond(
-            failed.said.status, platform::caller_fields(failed.head),
+            failed.parsed.status, platform::caller_fields(failed.head),
             failed.body);
         this->finish();
         return;
     }
-    if (now_running.is_stream)
+    if (running_attempt.is_stream)
     {
         this->begin_answer();
         this->session->end_stream();
     }
     else if (this->answer_begun)
     {
-        // A stream that began elsewhere cannot go on with another answer.
+        // A stream that began at another endpoint cannot continue with a
+        // complete answer.
         this->end_attempt(direct::use_end::answered);
-        this->cut("endpoint would not resume");
+        this->cut_answer("endpoint did not resume the stream");
         return;
     }
     else
     {
         this->session->respond(
-            status, platform::caller_fields(now_running.head),
-            now_running.body);
+            status, platform::caller_fields(running_attempt.head),
+            running_attempt.body);
     }
     this->log_answer(status);
     if (request::has_crashed(this->context->suspects, this->print))
     {
         request::note_answered(this->context->suspects, this->print);
-        this->context->tell_crash(this->print, now_running.endpoint, true);
+        this->context->notify_crash(
+            this->print, running_attempt.endpoint, true);
     }
     this->end_attempt(
         status >= 500 ? direct::use_end::faulty : direct::use_end::answered);
@@ -117,7 +120,7 @@
 {
     if (this->answer_begun)
     {
-        this->cut(reason);
+        this->cut_answer(reason);
         return;
     }
     this->refuse(kind, reason);
@@ -125,33 +128,33 @@
 
 void call::refuse(error_kind kind, char const* reason)
 {
-    this->leave_line();
+    this->leave_queue();
     auto const& row = base::row_of(kind);
     this->context->counters.count_error(kind);
     this->log(
         row.ran == ran_state::no ? kernel::event_id::request_refused
                                  : kernel::event_id::request_failed,
         kind, reason);
-    // A request that crashed endpoints was not run this time; the platform's
-    // callers know no other word for that.
+    // A suspect request was not run this time; 503 is the only status for that
+    // which the platform's callers know.
     auto const status = kind == error_kind::suspect_request
                             ? 503U
                             : static_cast<unsigned>(row.status);
-    auto const comes_back = is_promise(status) && row.ran == ran_state::no;
-    auto const after = comes_back ? this->retry_after() : milliseconds(0);
-    if (comes_back || status >= 500)
+    auto const is_retryable = is_promise(status) && row.ran == ran_state::no;
+    auto const after = is_retryable ? this->retry_after() : milliseconds(0);
+    if (is_retryable || status >= 500)
     {
         request::note_refusal(
             this->context->refusals, this->print, clock::now());
-        this->context->untold_refusals.push_back(this->print);
+        this->context->unsent_refusals.push_back(this->print);
     }
     this->session->respond(
-        status, platform::refusal_fields(this->said.attempt, after),
+        status, platform::refusal_fields(this->parsed.attempt, after),
         std::string(row.name) + "\n");
     this->finish();
 }
 
-void call::cut(char const* reason)
+void call::cut_answer(char const* reason)
 {
     this->context->counters.count_error(error_kind::endpoint_lost);
     this->log(kernel::event_id::request_cut, error_kind::endpoint_lost, reason);
@@ -161,7 +164,7 @@
 
 milliseconds call::retry_after() const
 {
-    // Spread, so that those refused together do not come back together.
+    // Random, so that requests refused together do not come back together.
     constexpr std::uint64_t least = 400;
     constexpr std::uint64_t spread = 1000;
     return milliseconds(
@@ -180,7 +183,7 @@
             ? (base::boot_now() - *this->context->confirmed).count()
             : -1;
     nlohmann::json fields{
-        {"request", this->said.attempt},
+        {"request", this->parsed.attempt},
         {"kind", base::row_of(kind).name},
         {"reason", reason},
         {"service", this->service_name},
@@ -194,8 +197,8 @@
          this->configuration ? this->configuration->version : 0},
         {"view_age_ms", age},
         {"after_ms", since(this->arrived)}};
-    this->add_endpoint(fields);
-    this->add_beginning(fields);
+    this->add_endpoint_state(fields);
+    this->add_first_event(fields);
     kernel::log_event(event, std::move(fields));
 }
 
@@ -209,17 +212,17 @@
     auto const total = since_arrival(now);
     this->context->counters.observe("foxtailvale_answer_ms", total);
     nlohmann::json fields{
-        {"request", this->said.attempt},
+        {"request", this->parsed.attempt},
         {"status", status},
         {"service", this->service_name},
         {"endpoint", this->last_endpoint},
         {"version", this->version},
         {"sends", this->sends},
-        {"returned", this->returned},
+        {"returned", this->goal_expired},
         {"sent_ms", since_arrival(this->first_sent.value_or(now)).count()},
         {"first_ms", since_arrival(this->first_answered.value_or(now)).count()},
         {"after_ms", total.count()}};
-    this->add_beginning(fields);
+    this->add_first_event(fields);
     kernel::log_event(kernel::event_id::request_answered, std::move(fields));
 }
 
--- a/libs/gateway/src/call_sight.cpp
+++ b/libs/gateway/src/call_observation.cpp
@@ -18,15 +18,16 @@
     return std::chrono::duration_cast<milliseconds>(value);
 }
 
-// Keeps the least time that was left of a version's bound.
-void note_left(
+// Updates the metric with the smallest margin seen before a version must no
+// longer be used.
+void note_start_margin(
     entry_context& context,
     std::string const& model,
     std::uint64_t version,
     milliseconds left)
 {
     auto const added =
-        context.nearest_beginnings.try_emplace({model, version}, left);
+        context.least_start_margins.try_emplace({model, version}, left);
     auto& least = added.first->second;
     if (!added.second && left >= least)
     {
@@ -43,9 +44,9 @@
 
 void call::note_placed(direct::choice const& chosen)
 {
-    this->sight.emplace();
-    this->sight->expected = chosen.expected;
-    this->sight->sent = this->current->begun;
+    this->observation.emplace();
+    this->observation->expected = chosen.expected;
+    this->observation->sent = this->current->begun;
     if (!chosen.expected.ends)
     {
         return;
@@ -53,11 +54,11 @@
     auto const& expected = chosen.expected;
     auto const until = [this](base::time_point then)
     {
-        return in_ms(then - this->sight->sent).count();
+        return in_ms(then - this->observation->sent).count();
     };
     kernel::log_event(
         kernel::event_id::request_placed,
-        {{"request", this->said.attempt},
+        {{"request", this->parsed.attempt},
          {"endpoint", this->current->endpoint},
          {"address", this->current->address},
          {"version", chosen.version},
@@ -71,9 +72,9 @@
          {"ends_in_ms", until(*expected.ends)}});
 }
 
-void call::note_begun()
+void call::note_first_event()
 {
-    auto& seen = *this->sight;
+    auto& seen = *this->observation;
     if (seen.begun || this->version == 0)
     {
         return;
@@ -85,45 +86,45 @@
         std::max(milliseconds(0), in_ms(now - seen.expected.begins)));
     auto const& book = this->context->book;
     if (auto const ends =
-            direct::use_ends(book, this->said.model, this->version))
+            direct::use_ends(book, this->parsed.model, this->version))
     {
         seen.before_end = *ends - now;
     }
     if (auto const succeeded =
-            direct::succeeded_at(book, this->said.model, this->version))
+            direct::succeeded_at(book, this->parsed.model, this->version))
     {
         auto const bound = this->context->settings.promised.version;
-        note_left(
-            *this->context, this->said.model, this->version,
+        note_start_margin(
+            *this->context, this->parsed.model, this->version,
             in_ms(*succeeded + bound - now));
     }
 }
 
-void call::add_endpoint(nlohmann::json& fields) const
+void call::add_endpoint_state(nlohmann::json& fields) const
 {
     auto const& known = this->context->book.endpoints;
     auto const found = known.find(this->last_endpoint);
-    if (!this->sight || found == known.end())
+    if (!this->observation || found == known.end())
     {
         return;
     }
     auto const now = clock::now();
     auto const& state = found->second;
     auto const never = base::time_point();
-    fields["sent_ago_ms"] = in_ms(now - this->sight->sent).count();
+    fields["sent_ago_ms"] = in_ms(now - this->observation->sent).count();
     fields["silent_ms"] =
         state.last_sent == never ? -1 : in_ms(now - state.last_sent).count();
     fields["report_age_ms"] =
         state.report ? in_ms(now - state.reported).count() : -1;
 }
 
-void call::add_beginning(nlohmann::json& fields) const
+void call::add_first_event(nlohmann::json& fields) const
 {
-    if (!this->sight || !this->sight->expected.ends)
+    if (!this->observation || !this->observation->expected.ends)
     {
         return;
     }
-    auto const& seen = *this->sight;
+    auto const& seen = *this->observation;
     fields["begun_ms"] =
         seen.begun ? in_ms(*seen.begun - seen.sent).count() : -1;
     fields["expected_ms"] = in_ms(seen.expected.begins - seen.sent).count();
--- a/libs/gateway/src/connection_pool.cpp
+++ b/libs/gateway/src/connection_pool.cpp
@@ -10,18 +10,19 @@
 
 using std::chrono::milliseconds;
 
-// Where an endpoint does not say when it closes idle connections.
-constexpr milliseconds unsaid_limit{1500};
+// Idle limit for endpoints that do not announce when they close idle
+// connections.
+constexpr milliseconds default_idle_limit{1500};
 
-milliseconds limit_of(net::client_connection const& connection)
+milliseconds idle_limit(net::client_connection const& connection)
 {
     auto const announced = connection.announced_idle_limit();
     if (announced.count() <= 0)
     {
-        return unsaid_limit;
+        return default_idle_limit;
     }
-    // Half of what it announces: the endpoint counts from another moment, and
-    // its end must not cross a request on the way.
+    // Half of the announced time: the endpoint starts counting at a different
+    // moment, and its close must not cross a request that is under way.
     return std::chrono::duration_cast<milliseconds>(announced) / 2;
 }
 
@@ -33,14 +34,14 @@
 }
 
 std::shared_ptr<net::client_connection>
-connection_pool::take(std::string const& address, milliseconds longest)
+connection_pool::take(std::string const& address, milliseconds max_idle)
 {
-    auto& line = this->kept[address];
-    while (!line.empty())
+    auto& connections = this->idle_connections[address];
+    while (!connections.empty())
     {
-        auto connection = line.back();
-        line.pop_back();
-        auto const limit = std::min(longest, limit_of(*connection));
+        auto connection = connections.back();
+        connections.pop_back();
+        auto const limit = std::min(max_idle, idle_limit(*connection));
         if (connection->is_open() && connection->is_idle() &&
             connection->idle_time() < limit)
         {
@@ -53,7 +54,7 @@
     {
         return nullptr;
     }
-    ++this->made;
+    ++this->opened_count;
     return std::make_shared<net::client_connection>(this->loop, *target);
 }
 
@@ -63,30 +64,30 @@
 {
     if (connection->is_open() && connection->is_idle())
     {
-        this->kept[address].push_back(std::move(connection));
+        this->idle_connections[address].push_back(std::move(connection));
     }
 }
 
 void connection_pool::sweep()
 {
-    for (auto& [address, line] : this->kept)
+    for (auto& [address, connections] : this->idle_connections)
     {
         std::erase_if(
-            line,
+            connections,
             [](std::shared_ptr<net::client_connection> const& connection)
             {
-                auto const fit =
+                auto const is_usable =
                     connection->is_open() &&
-                    connection->idle_time() < limit_of(*connection);
-                if (!fit)
+                    connection->idle_time() < idle_limit(*connection);
+                if (!is_usable)
                 {
                     connection->close();
                 }
-                return !fit;
+                return !is_usable;
             });
     }
     std::erase_if(
-        this->kept,
+        this->idle_connections,
         [](auto const& entry)
         {
             return entry.second.empty();
@@ -95,7 +96,7 @@
 
 std::uint64_t connection_pool::opened() const
 {
-    return this->made;
+    return this->opened_count;
 }
 
 } // namespace foxtailvale::gateway
--- a/libs/gateway/src/domain_reports.cpp
+++ b/libs/gateway/src/domain_reports.cpp
@@ -17,42 +17,42 @@
 using std::chrono::milliseconds;
 using clock = std::chrono::steady_clock;
 
-// An entry that has not asked for this long gets nothing more; two of its
-// questions may be lost.
-constexpr milliseconds asker_time{1500};
+// An entry that has not asked for this long gets no more reports; two of its
+// requests may be lost.
+constexpr milliseconds requester_timeout{1500};
 
-// So many reports fit into a datagram that no link splits.
-constexpr int most_reports = 40;
+// This many reports fit into a datagram that no link fragments.
+constexpr int max_reports_per_datagram = 40;
 
-std::uint32_t count_of(base::duration time)
+std::uint32_t to_ms_count(base::duration time)
 {
     auto const passed = std::chrono::duration_cast<milliseconds>(time).count();
     return static_cast<std::uint32_t>(std::max<std::int64_t>(0, passed));
 }
 
-std::uint32_t model_place(wire::PassedReports& told, std::string const& model)
+std::uint32_t model_index(wire::PassedReports& batch, std::string const& model)
 {
-    auto const& known = told.models();
+    auto const& known = batch.models();
     auto const found = std::ranges::find(known, model);
-    auto const place = std::distance(known.begin(), found);
+    auto const index = std::distance(known.begin(), found);
     if (found == known.end())
     {
-        told.add_models(model);
+        batch.add_models(model);
     }
-    return static_cast<std::uint32_t>(place);
+    return static_cast<std::uint32_t>(index);
 }
 
 void add_report(
-    wire::PassedReports& told,
+    wire::PassedReports& batch,
     std::uint32_t agent,
     direct::endpoint_state const& state,
     base::time_point now)
 {
     auto const& known = *state.report;
-    auto const model = model_place(told, known.weights.model);
-    auto& passed = *told.add_reports();
+    auto const model = model_index(batch, known.weights.model);
+    auto& passed = *batch.add_reports();
     passed.set_agent(agent);
-    passed.set_age_ms(count_of(now - state.reported));
+    passed.set_age_ms(to_ms_count(now - state.reported));
     passed.set_running(known.running);
     passed.set_waiting(known.waiting);
     passed.set_pace(static_cast<float>(known.pace));
@@ -64,12 +64,12 @@
     if (known.switches_at)
     {
         passed.set_switches(true);
-        passed.set_switches_in_ms(count_of(*known.switches_at - now));
+        passed.set_switches_in_ms(to_ms_count(*known.switches_at - now));
     }
 }
 
 direct::load_report read_report(
-    wire::PassedReports const& told,
+    wire::PassedReports const& batch,
     wire::PassedReport const& passed,
     base::time_point now)
 {
@@ -77,9 +77,9 @@
     report.running = passed.running();
     report.waiting = passed.waiting();
     report.pace = passed.pace();
-    if (std::cmp_less(passed.model(), told.models_size()))
+    if (std::cmp_less(passed.model(), batch.models_size()))
     {
-        report.weights.model = told.models(static_cast<int>(passed.model()));
+        report.weights.model = batch.models(static_cast<int>(passed.model()));
     }
     report.weights.version = passed.version();
     report.weights.whole = passed.whole();
@@ -92,10 +92,10 @@
     return report;
 }
 
-std::string bytes_of(wire::PassedReports told)
+std::string to_datagram(wire::PassedReports batch)
 {
     wire::Datagram message;
-    *message.mutable_passed_reports() = std::move(told);
+    *message.mutable_passed_reports() = std::move(batch);
     return message.SerializeAsString();
 }
 
@@ -115,7 +115,7 @@
 void domain_reports::run_round()
 {
     this->ask_sources();
-    this->pass_on();
+    this->relay_reports();
     this->timer.expires_after(direct::pass_interval);
     this->timer.async_wait(
         [self = this->shared_from_this()](boost::system::error_code error)
@@ -134,7 +134,7 @@
     return domains.empty() || domains.contains(own) ? own : *domains.begin();
 }
 
-std::set<std::string> domain_reports::asked_directly() const
+std::set<std::string> domain_reports::directly_polled_domains() const
 {
     auto const now = clock::now();
     std::set<std::string> found{this->home_domain()};
@@ -179,56 +179,57 @@
 
 void domain_reports::handle_ask(std::string const& from)
 {
-    // Failure: all processes are killed, and for a second entries know nothing
-    // of the engines of other domains.
-    auto const is_new = !this->askers.contains(from);
-    this->askers[from] = clock::now();
+    // A new requester is answered at once. Failure: after all processes were
+    // killed, entries knew nothing of the engines of other domains for a
+    // second.
+    auto const is_new = !this->requesters.contains(from);
+    this->requesters[from] = clock::now();
     if (!is_new)
     {
         return;
     }
-    for (auto const& bytes : this->own_reports())
+    for (auto const& bytes : this->encode_own_reports())
     {
         this->send(from, bytes);
     }
 }
 
-void domain_reports::note_named(std::string const& domain)
+void domain_reports::note_entries_listed(std::string const& domain)
 {
-    if (this->named.insert(domain).second)
+    if (this->domains_with_entries.insert(domain).second)
     {
         this->ask_sources();
     }
 }
 
-void domain_reports::pass_on()
+void domain_reports::relay_reports()
 {
     std::erase_if(
-        this->askers,
+        this->requesters,
         [now = clock::now()](auto const& entry)
         {
-            return now - entry.second > asker_time;
+            return now - entry.second > requester_timeout;
         });
-    if (this->askers.empty())
+    if (this->requesters.empty())
     {
         return;
     }
-    for (auto const& bytes : this->own_reports())
+    for (auto const& bytes : this->encode_own_reports())
     {
-        for (auto const& [entry, asked] : this->askers)
+        for (auto const& [entry, asked] : this->requesters)
         {
             this->send(entry, bytes);
         }
     }
 }
 
-std::vector<std::string> domain_reports::own_reports() const
+std::vector<std::string> domain_reports::encode_own_reports() const
 {
     auto const now = clock::now();
     auto const& own = this->context->settings.failure_domain;
     std::vector<std::string> datagrams;
-    wire::PassedReports told;
-    told.set_failure_domain(own);
+    wire::PassedReports batch;
+    batch.set_failure_domain(own);
     for (auto const& [id, state] : this->context->book.endpoints)
     {
         auto const address = net::parse_endpoint(state.listed.address);
@@ -238,22 +239,22 @@
         {
             continue;
         }
-        add_report(told, address->address().to_v4().to_uint(), state, now);
-        if (told.reports_size() == most_reports)
+        add_report(batch, address->address().to_v4().to_uint(), state, now);
+        if (batch.reports_size() == max_reports_per_datagram)
         {
-            datagrams.push_back(bytes_of(told));
-            told.clear_models();
-            told.clear_reports();
+            datagrams.push_back(to_datagram(batch));
+            batch.clear_models();
+            batch.clear_reports();
         }
     }
-    if (told.reports_size() > 0)
+    if (batch.reports_size() > 0)
     {
-        datagrams.push_back(bytes_of(std::move(told)));
+        datagrams.push_back(to_datagram(std::move(batch)));
     }
     return datagrams;
 }
 
-void domain_reports::take_reports(
+void domain_reports::handle_reports(
     std::string const& from, wire::PassedReports const& passed)
 {
     auto const now = clock::now();
--- a/libs/gateway/src/domain_reports.hpp
+++ b/libs/gateway/src/domain_reports.hpp
@@ -21,8 +21,8 @@
 namespace foxtailvale::gateway
 {
 
-// Passes the reports of this failure domain's agents on to entries of other
-// domains that ask for them, and asks entries there for theirs.
+// Relays the reports of this failure domain's agents to entries of other
+// domains that ask for them, and asks entries of other domains for theirs.
 class domain_reports : public std::enable_shared_from_this<domain_reports>
 {
 public:
@@ -30,36 +30,38 @@
 
     void start();
 
-    // Messages of other entries, by their IP addresses.
+    // Handle messages of other entries, given by their IP addresses.
     void handle_ask(std::string const& from);
-    // Entries of the domain were named.
-    void note_named(std::string const& domain);
+    // An agent listed entries of the domain.
+    void note_entries_listed(std::string const& domain);
     void
-    take_reports(std::string const& from, wire::PassedReports const& passed);
+    handle_reports(std::string const& from, wire::PassedReports const& passed);
 
-    // Failure domains whose agents this entry asks itself: its own, or the
-    // first that has agents if its own has none, and those whose entries pass
-    // nothing on.
-    std::set<std::string> asked_directly() const;
+    // Failure domains whose agents this entry subscribes to itself: its own (or
+    // the first domain with agents if its own has none), and those whose
+    // entries relay no reports.
+    std::set<std::string> directly_polled_domains() const;
 
-    // Sends a datagram's bytes to an entry. Set before start().
+    // Sends the bytes of a datagram to an entry. Set before start().
     std::function<void(std::string const& entry, std::string const& bytes)>
         send;
 
 private:
     void run_round();
     void ask_sources();
-    void pass_on();
-    // Datagrams with what the agents of the own domain last reported.
-    std::vector<std::string> own_reports() const;
+    void relay_reports();
+    // Returns datagrams with the latest reports of the own domain's agents.
+    std::vector<std::string> encode_own_reports() const;
+    // The own failure domain, or the first that has agents if the own one has
+    // none.
     std::string home_domain() const;
 
     std::shared_ptr<entry_context> context;
     direct::report_sources sources;
-    // Domains whose entries were named.
-    std::set<std::string> named;
-    // Entries of other domains that asked, and when.
-    std::map<std::string, base::time_point> askers;
+    // Domains for which an agent listed entries.
+    std::set<std::string> domains_with_entries;
+    // Entries of other domains that asked for reports, and when they last did.
+    std::map<std::string, base::time_point> requesters;
     boost::asio::steady_timer timer;
 };
 
--- a/libs/gateway/src/entry.cpp
+++ b/libs/gateway/src/entry.cpp
@@ -16,26 +16,27 @@
 using std::chrono::milliseconds;
 using clock = std::chrono::steady_clock;
 
-// Waiting requests are tried again this often, beside each time that an
-// endpoint's work ends or its agent reports.
-constexpr milliseconds tick{20};
+// Interval at which queued requests are tried again, in addition to each time
+// that an endpoint completes a request or its agent reports.
+constexpr milliseconds tick_interval{20};
 
-// Connections, settings and subscriptions are looked after this often.
+// Interval of the maintenance of connections, settings and subscriptions.
 constexpr milliseconds maintenance_interval{1000};
 
-// Endpoints that become known within this time are asked together. Failure:
-// a fleet registered within seconds, and with each endpoint every entry asked
-// all agents of its failure domain anew.
-constexpr milliseconds subscribe_pause{100};
+// Endpoints listed within this time are subscribed to together. Failure: a
+// fleet registered within seconds, and for each endpoint every entry subscribed
+// again to all agents of its failure domain.
+constexpr milliseconds subscribe_delay{100};
 
-// The balancer looks once a second and takes an entry out after two misses;
-// until then new connections still come.
-constexpr milliseconds balancer_time{2600};
+// The load balancer checks readiness once a second and removes an entry after
+// two failed checks; until then it still opens new connections.
+constexpr milliseconds balancer_drain_time{2600};
 
-// Left at the end of the time that the platform grants, for the last bytes.
-constexpr milliseconds last_moment{400};
+// Reserved at the end of the time that the platform grants for shutdown, to
+// send the last bytes.
+constexpr milliseconds flush_time{400};
 
-base::error_kind kind_of(net::read_fault fault)
+base::error_kind error_kind_of(net::read_fault fault)
 {
     switch (fault)
     {
@@ -59,8 +60,8 @@
     platform::settings const& given)
     : loop(event_loop), file(settings_source),
       context(std::make_shared<entry_context>(event_loop, given)),
-      caller_door(this->make_caller_door()),
-      ready_door(this->make_ready_door()),
+      caller_server(this->make_caller_server()),
+      readiness_server(this->make_readiness_server()),
       peers(std::make_shared<peer_link>(this->context)),
       reports(std::make_shared<domain_reports>(this->context)),
       views(std::make_shared<entry_views>(this->context)),
@@ -70,13 +71,13 @@
 {
     this->views->on_limits = [this](routing::caller_limits const& limits)
     {
-        this->caller_door->set_limits(
+        this->caller_server->set_limits(
             {limits.head_bytes, limits.body_bytes, limits.head_time,
              limits.idle_time});
     };
     this->views->on_endpoints = [this]
     {
-        this->subscribe_soon();
+        this->schedule_subscribe();
     };
     this->views->on_versions = [this]
     {
@@ -84,7 +85,7 @@
     };
 }
 
-std::shared_ptr<net::http_server> entry_process::make_caller_door()
+std::shared_ptr<net::http_server> entry_process::make_caller_server()
 {
     auto const shared = this->context;
     net::server_handlers handlers;
@@ -98,7 +99,7 @@
     handlers.on_fault =
         [shared](net::server_session& session, net::read_fault fault)
     {
-        auto const kind = kind_of(fault);
+        auto const kind = error_kind_of(fault);
         auto const& row = base::row_of(kind);
         shared->counters.count_error(kind);
         kernel::log_event(
@@ -111,7 +112,7 @@
         this->loop, net::server_limits{}, std::move(handlers));
 }
 
-std::shared_ptr<net::http_server> entry_process::make_ready_door()
+std::shared_ptr<net::http_server> entry_process::make_readiness_server()
 {
     net::server_handlers handlers;
     handlers.on_request =
@@ -137,8 +138,8 @@
     {
         return false;
     }
-    // With an older view callers with keys are refused here, while others
-    // may serve them.
+    // With an older view this entry would refuse callers with keys, while other
+    // entries may be able to serve them.
     auto const bound = state.settings.promised.key_withdrawal;
     return base::boot_now() - *state.confirmed < bound - bound / 4;
 }
@@ -150,20 +151,21 @@
     auto const balancer = net::parse_endpoint(settings.ready_address);
     if (!callers || !balancer)
     {
-        return "the settings name no addresses for callers";
+        return "the settings lack a valid address for callers or readiness "
+               "checks";
     }
-    if (auto const fault = this->caller_door->listen(*callers))
+    if (auto const fault = this->caller_server->listen(*callers))
     {
         return "callers' address: " + *fault;
     }
-    if (auto const fault = this->ready_door->listen(*balancer))
+    if (auto const fault = this->readiness_server->listen(*balancer))
     {
         return "readiness address: " + *fault;
     }
     this->views->start();
     this->relay =
         std::make_shared<view_relay>(this->context, this->views->feeds());
-    this->join_peers();
+    this->connect_peers();
     if (auto const fault = this->peers->open())
     {
         return "peers' address: " + *fault;
@@ -179,7 +181,7 @@
     return std::nullopt;
 }
 
-void entry_process::join_peers()
+void entry_process::connect_peers()
 {
     this->relay->send =
         [link = this->peers](std::string const& entry, std::string const& bytes)
@@ -191,47 +193,49 @@
     {
         link->send(entry, bytes);
     };
-    std::weak_ptr<domain_reports> const reporting = this->reports;
-    this->peers->on_report_ask = [reporting](std::string const& from)
+    std::weak_ptr<domain_reports> const weak_reports = this->reports;
+    this->peers->on_report_ask = [weak_reports](std::string const& from)
     {
-        if (auto const found = reporting.lock())
+        if (auto const found = weak_reports.lock())
         {
             found->handle_ask(from);
         }
     };
     this->peers->on_passed_reports =
-        [reporting](std::string const& from, wire::PassedReports const& passed)
+        [weak_reports](
+            std::string const& from, wire::PassedReports const& passed)
     {
-        if (auto const found = reporting.lock())
+        if (auto const found = weak_reports.lock())
         {
-            found->take_reports(from, passed);
+            found->handle_reports(from, passed);
         }
     };
-    this->peers->on_named = [reporting](std::string const& domain)
+    this->peers->on_entries_listed = [weak_reports](std::string const& domain)
     {
-        if (auto const found = reporting.lock())
+        if (auto const found = weak_reports.lock())
         {
-            found->note_named(domain);
+            found->note_entries_listed(domain);
         }
     };
-    this->peers->asked_directly = [reporting]
+    this->peers->directly_polled_domains = [weak_reports]
     {
-        auto const found = reporting.lock();
-        return found ? found->asked_directly() : std::set<std::string>();
+        auto const found = weak_reports.lock();
+        return found ? found->directly_polled_domains()
+                     : std::set<std::string>();
     };
-    std::weak_ptr<view_relay> const held = this->relay;
+    std::weak_ptr<view_relay> const weak_relay = this->relay;
     this->peers->on_view_ask =
-        [held](std::string const& from, wire::ViewAsk const& ask)
+        [weak_relay](std::string const& from, wire::ViewAsk const& ask)
     {
-        if (auto const found = held.lock())
+        if (auto const found = weak_relay.lock())
         {
             found->handle_ask(from, ask);
         }
     };
     this->peers->on_view_notice =
-        [held](std::string const& from, wire::ViewNotice const& notice)
+        [weak_relay](std::string const& from, wire::ViewNotice const& notice)
     {
-        if (auto const found = held.lock())
+        if (auto const found = weak_relay.lock())
         {
             found->handle_notice(from, notice);
         }
@@ -267,7 +271,7 @@
 
 void entry_process::run_tick()
 {
-    this->tick_timer.expires_after(tick);
+    this->tick_timer.expires_after(tick_interval);
     this->tick_timer.async_wait(
         [self = this->shared_from_this()](boost::system::error_code error)
         {
@@ -280,7 +284,7 @@
             direct::expire(self->context->book, clock::now());
             self->views->expire_domains();
             request::expire(self->context->refusals, clock::now());
-            self->peers->tell_refusals();
+            self->peers->send_refusals();
             serve_all_waiting(*self->context);
             self->run_tick();
         });
@@ -295,7 +299,7 @@
             kernel::event_id::settings_reloaded, {{"node", changed->name}});
     }
     this->context->pool.sweep();
-    tell_traffic(
+    flush_traffic(
         this->context->traffic, this->context->book,
         this->context->settings.failure_domain, this->context->counters);
     this->peers->subscribe();
@@ -310,17 +314,17 @@
         });
 }
 
-void entry_process::subscribe_soon()
+void entry_process::schedule_subscribe()
 {
-    if (std::exchange(this->subscribe_planned, true))
+    if (std::exchange(this->subscribe_scheduled, true))
     {
         return;
     }
-    this->subscribe_timer.expires_after(subscribe_pause);
+    this->subscribe_timer.expires_after(subscribe_delay);
     this->subscribe_timer.async_wait(
         [self = this->shared_from_this()](boost::system::error_code error)
         {
-            self->subscribe_planned = false;
+            self->subscribe_scheduled = false;
             if (!error)
             {
                 self->peers->subscribe();
@@ -338,36 +342,36 @@
     this->context->stopping = true;
     this->relay->retire();
     this->stop_began = clock::now();
-    this->caller_door->announce_close();
-    this->await_end();
+    this->caller_server->announce_close();
+    this->await_drain();
 }
 
-void entry_process::await_end()
+void entry_process::await_drain()
 {
     auto const passed = clock::now() - this->stop_began;
-    auto const granted = this->context->settings.promised.stop - last_moment;
-    if (passed >= balancer_time)
+    auto const granted = this->context->settings.promised.stop - flush_time;
+    if (passed >= balancer_drain_time)
     {
-        this->caller_door->close_idle();
+        this->caller_server->close_idle();
     }
-    auto const done =
-        passed >= balancer_time && this->caller_door->open_sessions() == 0;
+    auto const done = passed >= balancer_drain_time &&
+                      this->caller_server->open_sessions() == 0;
     if (done || passed >= granted)
     {
         kernel::log_event(
             kernel::event_id::process_stopped,
-            {{"cut", this->caller_door->running_requests()}});
+            {{"cut", this->caller_server->running_requests()}});
         this->loop.stop();
         return;
     }
-    constexpr milliseconds look{50};
-    this->stop_timer.expires_after(look);
+    constexpr milliseconds poll_interval{50};
+    this->stop_timer.expires_after(poll_interval);
     this->stop_timer.async_wait(
         [self = this->shared_from_this()](boost::system::error_code error)
         {
             if (!error)
             {
-                self->await_end();
+                self->await_drain();
             }
         });
 }
--- a/libs/gateway/src/entry_context.cpp
+++ b/libs/gateway/src/entry_context.cpp
@@ -29,10 +29,10 @@
 
 void note_suspend(entry_context& context)
 {
-    // Both clocks are read one after the other.
-    constexpr std::chrono::milliseconds reading_time{50};
+    // Tolerance for the time that passes between the two clock reads.
+    constexpr std::chrono::milliseconds clock_read_tolerance{50};
     auto const total = suspended_time();
-    if (total - context.suspended > reading_time)
+    if (total - context.suspended > clock_read_tolerance)
     {
         direct::note_suspended(context.book, total - context.suspended);
         context.suspended = total;
@@ -46,7 +46,7 @@
     {
         auto const marked =
             request::note_crash(context.suspects, print, endpoint, now);
-        context.tell_crash(print, endpoint, false);
+        context.notify_crash(print, endpoint, false);
         if (marked)
         {
             kernel::log_event(
@@ -103,22 +103,22 @@
     {
         return;
     }
-    // A request that starts or is refused leaves the line, so the line is
-    // walked by position and not by iterator.
-    auto place = waiting_place{};
+    // A placed or refused request removes itself from the queue, so the queue
+    // is walked by position and not by iterator.
+    auto position = queue_position{};
     while (true)
     {
-        auto const next = found->second.lower_bound(place);
+        auto const next = found->second.lower_bound(position);
         if (next == found->second.end())
         {
             return;
         }
         auto const waiting = next->second;
-        place = next->first;
-        ++place.arrival;
+        position = next->first;
+        ++position.arrival;
         if (!waiting->try_waiting())
         {
-            // What stands behind it wants the same room.
+            // The requests behind this one need the same capacity.
             return;
         }
     }
@@ -127,9 +127,9 @@
 void serve_all_waiting(entry_context& context)
 {
     std::vector<std::string> services;
-    for (auto const& [service, line] : context.waiting)
+    for (auto const& [service, queue] : context.waiting)
     {
-        if (!line.empty())
+        if (!queue.empty())
         {
             services.push_back(service);
         }
--- a/libs/gateway/src/entry_process.cpp
+++ b/libs/gateway/src/entry_process.cpp
@@ -21,7 +21,8 @@
         {
             if (read.caller_address.empty() || read.ready_address.empty())
             {
-                return "the settings name no addresses for callers";
+                return "the settings lack an address for callers or readiness "
+                       "checks";
             }
             return std::nullopt;
         });
--- a/libs/gateway/src/entry_views.cpp
+++ b/libs/gateway/src/entry_views.cpp
@@ -13,30 +13,31 @@
 using std::chrono::milliseconds;
 using clock = std::chrono::steady_clock;
 
-// The configuration confirms keys, which may not be used longer than a few
-// seconds after their withdrawal. A view is as old as the last wait that ended
-// and the one under way, so up to twice this, and followers add a quarter of a
-// second.
+// The configuration confirms keys, which must not be accepted for longer than a
+// few seconds after their withdrawal. A view can be as old as the last
+// completed wait plus the one under way, up to twice this, and followers add a
+// quarter of a second.
 constexpr milliseconds configuration_wait{800};
-// A connection that fell silent must not hide a leaving endpoint for long.
+// Short, so that a stalled connection does not hide a leaving endpoint for
+// long.
 constexpr milliseconds endpoints_wait{1500};
 constexpr milliseconds domains_wait{2000};
 constexpr milliseconds versions_wait{2000};
 
-// Endpoints change in rows, as when many load weights; one call then brings
-// the changes of this time together. A leaving endpoint may get requests for
-// two seconds.
+// Endpoints often change in bursts, such as when many load weights; this delay
+// lets one call return the changes of a burst together. A leaving endpoint may
+// get requests for two seconds, which bounds this delay.
 constexpr milliseconds endpoints_pause{200};
 
-// Taken off the time until an older version may begin nothing more, for the way
-// of the news and of the request. What a request may wait at the endpoint is
-// the placement's matter.
+// Subtracted from the time until an older version must no longer start
+// requests, for the transit of the announcement and of the request. The time
+// that a request may wait at the endpoint is accounted for by the placement.
 constexpr milliseconds version_margin{400};
 
-// How far back a version may have been named that a process finds at its
-// start. Older versions then end that much sooner than their time; a process
-// that has just started counts for nothing in the first three seconds.
-constexpr milliseconds unknown_past{5000};
+// Assumed age of a version that is already announced when this process starts.
+// Older versions are then retired that much earlier than their time; a process
+// that has just started does not count in its first three seconds.
+constexpr milliseconds max_unseen_age{5000};
 
 char const* name_of(platform::object_kind kind)
 {
@@ -80,7 +81,7 @@
 
 std::vector<std::shared_ptr<view_feed>> const& entry_views::feeds() const
 {
-    return this->kept;
+    return this->view_feeds;
 }
 
 bool entry_views::knows_endpoints() const
@@ -92,7 +93,7 @@
     platform::object_kind kind,
     milliseconds wait,
     watch_handlers handlers,
-    own_numbers numbers)
+    content_version_readers numbers)
 {
     auto const store =
         net::parse_endpoint(this->context->settings.store_address);
@@ -103,7 +104,7 @@
     chosen.pause = kind == platform::object_kind::endpoints ? endpoints_pause
                                                             : milliseconds(0);
     chosen.seed = base::next_random(this->context->random);
-    handlers.on_call =
+    handlers.on_request_end =
         [self = this->shared_from_this()](bool answered, base::boot_time began)
     {
         if (answered)
@@ -113,13 +114,13 @@
         }
         direct::note_failure(self->outage, began);
     };
-    handlers.on_return =
+    handlers.on_store_restored =
         [self = this->shared_from_this(), kind](
             platform::store_mark const& before, platform::store_mark const& now)
     {
         self->note_return(kind, before, now);
     };
-    this->kept.push_back(std::make_shared<view_feed>(
+    this->view_feeds.push_back(std::make_shared<view_feed>(
         this->context->loop, chosen, std::move(handlers), std::move(numbers)));
 }
 
@@ -140,7 +141,7 @@
 }
 
 std::function<void(bool, std::string const&)>
-entry_views::report_loss(char const* what)
+entry_views::make_loss_logger(char const* what)
 {
     return [what](bool lost, std::string const& why)
     {
@@ -160,18 +161,18 @@
          {
              for (auto const& object : objects)
              {
-                 self->adopt(object);
+                 self->adopt_configuration(object);
              }
          },
          [self](platform::store_object const& object, bool)
          {
-             self->adopt(object);
+             self->adopt_configuration(object);
          },
          [self](base::boot_time until)
          {
              self->context->confirmed = until;
          },
-         this->report_loss("configuration")},
+         this->make_loss_logger("configuration")},
         {[](std::string const& content)
          {
              auto const read = platform::read_configuration(content);
@@ -184,7 +185,7 @@
          }});
 }
 
-void entry_views::adopt(platform::store_object const& object)
+void entry_views::adopt_configuration(platform::store_object const& object)
 {
     if (object.removed || object.name != "main")
     {
@@ -197,8 +198,8 @@
         return;
     }
     auto& state = *this->context;
-    // Only upwards: an answer that was delayed must not take back what is in
-    // force.
+    // Only a higher version is adopted: a delayed answer must not revert the
+    // active configuration.
     if (state.configuration &&
         read.value().version <= state.configuration->version)
     {
@@ -241,12 +242,12 @@
          },
          [self](platform::store_object const& object, bool was_lost)
          {
-             self->take_endpoint(object, was_lost);
+             self->apply_endpoint(object, was_lost);
          },
-         [](base::boot_time) {}, this->report_loss("endpoints")});
+         [](base::boot_time) {}, this->make_loss_logger("endpoints")});
 }
 
-void entry_views::take_endpoint(
+void entry_views::apply_endpoint(
     platform::store_object const& object, bool was_lost)
 {
     auto const now = clock::now();
@@ -277,19 +278,19 @@
              for (auto const& object : objects)
              {
                  listed.insert(object.name);
-                 self->take_domain(object);
+                 self->apply_domain(object);
              }
              log_domains_in(direct::replace_domains(
                  self->context->book, listed, clock::now()));
          },
          [self](platform::store_object const& object, bool)
          {
-             self->take_domain(object);
+             self->apply_domain(object);
          },
-         [](base::boot_time) {}, this->report_loss("failure domains")});
+         [](base::boot_time) {}, this->make_loss_logger("failure domains")});
 }
 
-void entry_views::take_domain(platform::store_object const& object)
+void entry_views::apply_domain(platform::store_object const& object)
 {
     auto& book = this->context->book;
     if (object.removed && direct::take_in(book, object.name))
@@ -316,30 +317,31 @@
         platform::object_kind::versions, versions_wait,
         {[self, began](std::vector<platform::store_object> const& objects, bool)
          {
-             // What a listing brings may have been accepted at any moment
-             // since the last confirmation. Failure: the first one came late,
-             // and an older version was used for longer by its time on the way.
+             // The versions in a listing may have been accepted at any time
+             // since the last confirmation. Failure: the first listing arrived
+             // late, its transit time was not counted, and an older version was
+             // used for that much longer.
              auto const since = self->versions_known ? self->versions_confirmed
-                                                     : began - unknown_past;
+                                                     : began - max_unseen_age;
              for (auto const& object : objects)
              {
-                 self->take_version(
+                 self->apply_version(
                      object, direct::accepted_since(self->outage, since));
              }
              self->versions_known = true;
          },
          [self](platform::store_object const& object, bool was_lost)
          {
-             self->take_version(
+             self->apply_version(
                  object, was_lost ? direct::accepted_since(
                                         self->outage, self->versions_confirmed)
-                                  : self->arrived() - object.age);
+                                  : self->earliest_received() - object.age);
          },
          [self](base::boot_time until)
          {
              self->versions_confirmed = until;
          },
-         this->report_loss("versions")},
+         this->make_loss_logger("versions")},
         {[](std::string const& content)
          {
              auto const read = platform::read_version(content);
@@ -348,12 +350,12 @@
          {}});
 }
 
-base::boot_time entry_views::arrived() const
+base::boot_time entry_views::earliest_received() const
 {
     return direct::earliest_arrival(this->context->pause, base::boot_now());
 }
 
-void entry_views::take_version(
+void entry_views::apply_version(
     platform::store_object const& object, base::boot_time accepted)
 {
     auto const read = platform::read_version(object.content);
--- a/libs/gateway/src/event_splitter.cpp
+++ b/libs/gateway/src/event_splitter.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-// Where the event that begins the text ends, past its blank line; npos when
-// the text holds no whole event.
+// Returns the offset past the blank line that ends the first event of the text;
+// npos when the text holds no complete event.
 std::size_t end_of_event(std::string_view text)
 {
     auto from = std::size_t{0};
@@ -65,12 +65,12 @@
 
 std::vector<stream_event> split(event_splitter& state, std::string_view data)
 {
-    state.rest.append(data);
+    state.incomplete.append(data);
     std::vector<stream_event> events;
     auto from = std::size_t{0};
     while (true)
     {
-        auto const text = std::string_view(state.rest).substr(from);
+        auto const text = std::string_view(state.incomplete).substr(from);
         auto const end = end_of_event(text);
         if (end == std::string_view::npos)
         {
@@ -80,7 +80,7 @@
         events.push_back({std::string(event), id_of(event)});
         from += end;
     }
-    state.rest.erase(0, from);
+    state.incomplete.erase(0, from);
     return events;
 }
 
--- a/libs/gateway/src/fleet_lists.cpp
+++ b/libs/gateway/src/fleet_lists.cpp
@@ -19,17 +19,17 @@
 using std::chrono::milliseconds;
 using clock = std::chrono::steady_clock;
 
-// The lists are read when a transfer begins or is under way, and again after
-// this long.
-constexpr milliseconds again{2000};
+// The lists are requested when a transfer begins or is under way, and again
+// after this time.
+constexpr milliseconds reread_interval{2000};
 
-// After a failure, sooner.
-constexpr milliseconds again_after_failure{400};
+// Shorter interval after a failure.
+constexpr milliseconds retry_delay{400};
 
-// An entry answers within a few milliseconds, and within a tenth of a second
-// across regions whose links are full; after three the store is read.
-constexpr milliseconds answer_limit{150};
-constexpr std::uint32_t most_tries = 3;
+// An entry answers within a few milliseconds, or within a tenth of a second
+// across regions whose links are full. After three tries the store is read.
+constexpr milliseconds answer_timeout{150};
+constexpr std::uint32_t max_tries = 3;
 
 } // namespace
 
@@ -46,7 +46,7 @@
         this->ask_again();
         return;
     }
-    if (this->reading || now - this->last_read < again)
+    if (this->reading || now - this->last_read < reread_interval)
     {
         return;
     }
@@ -59,7 +59,7 @@
 void fleet_lists::ask_again()
 {
     auto const asked =
-        this->tries < most_tries && this->ask_entry(this->token, this->tries);
+        this->tries < max_tries && this->ask_entry(this->token, this->tries);
     if (!asked)
     {
         this->token = 0;
@@ -67,22 +67,22 @@
         return;
     }
     ++this->tries;
-    this->answered.clear();
-    this->answer_by = clock::now() + answer_limit;
+    this->partial_answer.clear();
+    this->answer_by = clock::now() + answer_timeout;
 }
 
 void fleet_lists::read_store()
 {
     auto& state = *this->context;
     auto const now = clock::now();
-    auto const draw =
+    auto const random_fraction =
         static_cast<double>(base::random_below(state.random, 1000)) / 1000;
     auto const need = state.model.empty() ? direct::list_need::model
                                           : direct::list_need::transfer;
-    if (!direct::may_read_store(this->fallback, need, now, draw))
+    if (!direct::may_read_store(this->fallback, need, now, random_fraction))
     {
         this->reading = false;
-        this->last_read = now - (again - again_after_failure);
+        this->last_read = now - (reread_interval - retry_delay);
         return;
     }
     if (state.model.empty())
@@ -100,7 +100,7 @@
     {
         return;
     }
-    auto& members = this->answered[notice.failure_domain()];
+    auto& members = this->partial_answer[notice.failure_domain()];
     members.clear();
     for (int index = 0; index < notice.agents_size(); ++index)
     {
@@ -108,12 +108,12 @@
         members.push_back(
             {ip.to_string(), notice.failure_domain(), notice.versions(index)});
     }
-    if (this->answered.size() < notice.domains())
+    if (this->partial_answer.size() < notice.domains())
     {
         return;
     }
     std::vector<fleet_member> all;
-    for (auto const& [domain, found] : this->answered)
+    for (auto const& [domain, found] : this->partial_answer)
     {
         all.insert(all.end(), found.begin(), found.end());
     }
@@ -121,7 +121,7 @@
     this->reading = false;
     this->last_read = clock::now();
     direct::note_answered(this->fallback, this->last_read);
-    this->take_members(all);
+    this->apply_members(all);
     this->on_read();
 }
 
@@ -137,12 +137,13 @@
             if (!found)
             {
                 self->reading = false;
-                self->last_read = clock::now() - (again - again_after_failure);
+                self->last_read =
+                    clock::now() - (reread_interval - retry_delay);
                 return;
             }
             for (auto const& object : *found)
             {
-                self->take_configuration(object);
+                self->apply_configuration(object);
             }
             self->read_endpoints();
         });
@@ -161,13 +162,13 @@
             self->last_read = clock::now();
             if (found)
             {
-                self->take_endpoints(*found);
+                self->apply_endpoints(*found);
                 self->on_read();
             }
         });
 }
 
-void fleet_lists::take_configuration(platform::store_object const& object)
+void fleet_lists::apply_configuration(platform::store_object const& object)
 {
     auto const read = platform::read_configuration(object.content);
     if (read.has_error())
@@ -193,7 +194,7 @@
     note_served(state, served);
 }
 
-void fleet_lists::take_endpoints(
+void fleet_lists::apply_endpoints(
     std::vector<platform::store_object> const& objects)
 {
     auto const& state = *this->context;
@@ -210,10 +211,10 @@
                  read->failure_domain, serves ? read->weights.version : 0});
         }
     }
-    this->take_members(members);
+    this->apply_members(members);
 }
 
-void fleet_lists::take_members(std::vector<fleet_member> const& members)
+void fleet_lists::apply_members(std::vector<fleet_member> const& members)
 {
     auto& state = *this->context;
     auto const port = ":" + std::to_string(state.settings.peer_port);
@@ -235,8 +236,8 @@
     {
         auto& plan = state.fleet[domain];
         plan.failure_domain = domain;
-        // One import for all regions: the forest draws a chunk from the
-        // origin once for each region that it is told of.
+        // One import for all regions: the forest of transfer trees fetches a
+        // chunk from the origin once for each region that it is given.
         plan.region = "all";
         for (auto const& ip : addresses)
         {
--- a/libs/gateway/src/page_text.cpp
+++ b/libs/gateway/src/page_compression.cpp
@@ -1,4 +1,4 @@
-#include "page_text.hpp"
+#include "page_compression.hpp"
 
 #include <Poco/DeflatingStream.h>
 #include <Poco/Exception.h>
@@ -13,11 +13,13 @@
 namespace
 {
 
-// The fastest level: ten times smaller, and a third of the time of the best.
-constexpr int level = 1;
+// The fastest level: a tenth of the size in a third of the time of the highest
+// level.
+constexpr int compression_level = 1;
 
-// Many times what the platform's store keeps in one object.
-constexpr std::size_t most_bytes = 32UL * 1024 * 1024;
+// Bounds the memory that a received page may take; many times the maximum size
+// of an object in the platform's store.
+constexpr std::size_t max_decompressed_bytes = 32UL * 1024 * 1024;
 
 } // namespace
 
@@ -25,13 +27,13 @@
 {
     std::ostringstream out;
     Poco::DeflatingOutputStream stream(
-        out, Poco::DeflatingStreamBuf::STREAM_ZLIB, level);
+        out, Poco::DeflatingStreamBuf::STREAM_ZLIB, compression_level);
     stream << bytes;
     stream.close();
     return out.str();
 }
 
-std::optional<std::string> expand(std::string const& bytes)
+std::optional<std::string> decompress(std::string const& bytes)
 {
     std::istringstream in(bytes);
     Poco::InflatingInputStream stream(
@@ -43,7 +45,7 @@
         stream.read(block.data(), block.size());
         expanded.append(
             block.data(), static_cast<std::size_t>(stream.gcount()));
-        if (expanded.size() > most_bytes)
+        if (expanded.size() > max_decompressed_bytes)
         {
             return std::nullopt;
         }
--- a/libs/gateway/src/peer_link.cpp
+++ b/libs/gateway/src/peer_link.cpp
@@ -17,7 +17,7 @@
 using clock = std::chrono::steady_clock;
 
 direct::load_report
-read_state(wire::EngineState const& state, base::time_point now)
+to_load_report(wire::EngineState const& state, base::time_point now)
 {
     direct::load_report report;
     report.running = state.running();
@@ -34,7 +34,7 @@
     return report;
 }
 
-char const* kind_of(wire::Datagram const& message)
+char const* message_kind(wire::Datagram const& message)
 {
     switch (message.body_case())
     {
@@ -90,13 +90,14 @@
                 held->receive(source, bytes);
             }
         });
-    this->context->tell_crash = [self](
-                                    request::fingerprint print,
-                                    std::string const& endpoint, bool answered)
+    this->context->notify_crash = [self](
+                                      request::fingerprint print,
+                                      std::string const& endpoint,
+                                      bool answered)
     {
         if (auto const held = self.lock())
         {
-            held->tell_crash(print, endpoint, answered);
+            held->notify_crash(print, endpoint, answered);
         }
     };
     return this->socket->open({ip, settings.peer_port});
@@ -120,7 +121,7 @@
     this->add_models(*asked.mutable_models());
     auto const bytes = message.SerializeAsString();
     auto const known = this->agents();
-    for (auto const& domain : this->asked_directly())
+    for (auto const& domain : this->directly_polled_domains())
     {
         auto const found = known.find(domain);
         if (found == known.end())
@@ -132,7 +133,7 @@
             this->socket->send(agent, bytes);
         }
     }
-    this->ask_names(known);
+    this->request_entry_names(known);
 }
 
 std::map<std::string, std::vector<net::udp_endpoint>> peer_link::agents() const
@@ -152,21 +153,21 @@
     return found;
 }
 
-void peer_link::ask_names(
+void peer_link::request_entry_names(
     std::map<std::string, std::vector<net::udp_endpoint>> const& agents)
 {
-    constexpr std::size_t asked_at_once = 2;
+    constexpr std::size_t agents_per_request = 2;
     wire::Datagram message;
     auto& asked = *message.mutable_subscribe();
     asked.set_failure_domain(this->context->settings.failure_domain);
     asked.set_names_only(true);
     auto const bytes = message.SerializeAsString();
     auto const start = base::stable_hash(this->context->settings.ip) +
-                       asked_at_once * this->names_asked++;
+                       agents_per_request * this->name_requests_sent++;
     for (auto const& [domain, known] : agents)
     {
-        for (std::size_t next = 0; next < std::min(asked_at_once, known.size());
-             ++next)
+        for (std::size_t next = 0;
+             next < std::min(agents_per_request, known.size()); ++next)
         {
             this->socket->send(known[(start + next) % known.size()], bytes);
         }
@@ -174,7 +175,7 @@
 }
 
 void peer_link::add_models(
-    google::protobuf::RepeatedPtrField<wire::ServedModel>& told) const
+    google::protobuf::RepeatedPtrField<wire::ServedModel>& served_models) const
 {
     auto const& known = this->context->configuration;
     if (!known)
@@ -195,7 +196,7 @@
     {
         if (service.engine && !service.engine->models.empty())
         {
-            auto& served = *told.Add();
+            auto& served = *served_models.Add();
             served.set_service(name);
             served.set_model(service.engine->models.front());
             served.set_origin(origin->second.origin);
@@ -214,14 +215,15 @@
         return;
     }
     auto const from = source.address().to_string();
-    note_received(this->context->traffic, kind_of(message), from, bytes.size());
+    note_received(
+        this->context->traffic, message_kind(message), from, bytes.size());
     switch (message.body_case())
     {
     case wire::Datagram::kEngineState:
-        this->take_state(from, message.engine_state());
+        this->handle_engine_state(from, message.engine_state());
         break;
     case wire::Datagram::kCrashNotice:
-        this->take_crash(message.crash_notice());
+        this->handle_crash_notice(message.crash_notice());
         break;
     case wire::Datagram::kRefusalNotice:
         for (auto const print : message.refusal_notice().fingerprints())
@@ -236,10 +238,10 @@
         this->on_view_notice(from, message.view_notice());
         break;
     case wire::Datagram::kFleetAsk:
-        this->tell_fleet(source, message.fleet_ask());
+        this->send_fleet(source, message.fleet_ask());
         break;
     case wire::Datagram::kEntriesNotice:
-        this->take_entries(message.entries_notice());
+        this->handle_entries_notice(message.entries_notice());
         break;
     case wire::Datagram::kReportAsk:
         this->on_report_ask(from);
@@ -250,17 +252,18 @@
     case wire::Datagram::kFleetNotice:
     case wire::Datagram::kSubscribe:
     case wire::Datagram::BODY_NOT_SET:
-        // For agents, or from a later version of the program.
+        // Messages for agents, or kinds added by a later version of the
+        // program.
         break;
     }
 }
 
-void peer_link::take_state(
+void peer_link::handle_engine_state(
     std::string const& agent, wire::EngineState const& state)
 {
     auto const now = clock::now();
     auto& shared = *this->context;
-    direct::note_report(shared.book, agent, read_state(state, now), now);
+    direct::note_report(shared.book, agent, to_load_report(state, now), now);
     if (state.unreachable())
     {
         note_gone_at(shared, agent);
@@ -268,7 +271,7 @@
     serve_all_waiting(shared);
 }
 
-void peer_link::tell_fleet(
+void peer_link::send_fleet(
     net::udp_endpoint const& agent, wire::FleetAsk const& asked)
 {
     auto const now = clock::now();
@@ -303,7 +306,7 @@
     }
 }
 
-void peer_link::take_crash(wire::CrashNotice const& notice)
+void peer_link::handle_crash_notice(wire::CrashNotice const& notice)
 {
     auto& suspects = this->context->suspects;
     if (notice.answered())
@@ -315,24 +318,25 @@
         suspects, notice.fingerprint(), notice.endpoint(), clock::now());
 }
 
-void peer_link::take_entries(wire::EntriesNotice const& notice)
+void peer_link::handle_entries_notice(wire::EntriesNotice const& notice)
 {
     auto& shared = *this->context;
     auto const& own = shared.settings;
-    for (auto const& told : notice.domains())
+    for (auto const& listed : notice.domains())
     {
         std::set<std::string> named;
-        for (auto const entry : told.entries())
+        for (auto const entry : listed.entries())
         {
             named.insert(boost::asio::ip::address_v4(entry).to_string());
         }
-        auto const& domain = told.failure_domain();
+        auto const& domain = listed.failure_domain();
         shared.book.domain_entries[domain].insert(named.begin(), named.end());
         shared.entry_addresses.insert(named.begin(), named.end());
-        this->on_named(domain);
-        // Agents know the entries of their own domain, and few of others.
+        this->on_entries_listed(domain);
+        // An agent knows all entries of its own domain, but only a few of
+        // others.
         auto const is_own = domain == notice.failure_domain();
-        auto& alive = shared.entries_alive[domain];
+        auto& alive = shared.live_entries[domain];
         alive = is_own ? named.size() : std::max(alive, named.size());
         if (domain != own.failure_domain)
         {
@@ -346,7 +350,7 @@
         shared.neighbours.erase(own.ip);
     }
     std::size_t alive = 0;
-    for (auto const& [domain, count] : shared.entries_alive)
+    for (auto const& [domain, count] : shared.live_entries)
     {
         alive += count;
     }
@@ -358,21 +362,21 @@
     }
 }
 
-void peer_link::tell_refusals()
+void peer_link::send_refusals()
 {
-    // So many fit into a datagram that no link splits.
-    constexpr std::size_t most_at_once = 128;
-    auto& untold = this->context->untold_refusals;
-    while (!untold.empty())
+    // This many fit into a datagram that no link fragments.
+    constexpr std::size_t max_fingerprints = 128;
+    auto& unsent = this->context->unsent_refusals;
+    while (!unsent.empty())
     {
         wire::Datagram message;
         message.set_from(this->context->settings.name);
         auto& notice = *message.mutable_refusal_notice();
-        for (std::size_t count = 0; count < most_at_once && !untold.empty();
+        for (std::size_t count = 0; count < max_fingerprints && !unsent.empty();
              ++count)
         {
-            notice.add_fingerprints(untold.back());
-            untold.pop_back();
+            notice.add_fingerprints(unsent.back());
+            unsent.pop_back();
         }
         this->send_to(this->context->neighbours, message.SerializeAsString());
     }
@@ -400,7 +404,7 @@
     }
 }
 
-void peer_link::tell_crash(
+void peer_link::notify_crash(
     request::fingerprint print, std::string const& endpoint, bool answered)
 {
     wire::Datagram message;
--- a/libs/gateway/src/store_list.cpp
+++ b/libs/gateway/src/store_list.cpp
@@ -8,12 +8,12 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds page_limit{1500};
+constexpr std::chrono::milliseconds page_timeout{1500};
 
-// A listing that is under way; alive until its last page has come.
-struct listing : std::enable_shared_from_this<listing>
+// A listing in progress; stays alive until its last page has arrived.
+struct list_operation : std::enable_shared_from_this<list_operation>
 {
-    listing(
+    list_operation(
         boost::asio::io_context& event_loop,
         connection_pool& connections,
         std::string address,
@@ -23,20 +23,20 @@
     {
     }
 
-    void next()
+    void request_next_page()
     {
         auto const after =
             this->objects.empty() ? std::string() : this->objects.back().name;
         fetch(
             this->loop, this->pool, this->store,
-            platform::list_request(this->kind, after, true), page_limit,
+            platform::list_request(this->kind, after, true), page_timeout,
             [self = this->shared_from_this()](std::optional<fetched> response)
             {
-                self->take(response);
+                self->handle_response(response);
             });
     }
 
-    void take(std::optional<fetched> const& response)
+    void handle_response(std::optional<fetched> const& response)
     {
         auto reply = response && response->status == 200
                          ? platform::read_store_reply(response->body)
@@ -54,7 +54,7 @@
         }
         if (more)
         {
-            this->next();
+            this->request_next_page();
             return;
         }
         this->done(std::move(this->objects));
@@ -79,9 +79,10 @@
     std::function<void(std::optional<std::vector<platform::store_object>>)>
         done)
 {
-    auto const made = std::make_shared<listing>(loop, pool, store, kind);
-    made->done = std::move(done);
-    made->next();
+    auto const operation =
+        std::make_shared<list_operation>(loop, pool, store, kind);
+    operation->done = std::move(done);
+    operation->request_next_page();
 }
 
 } // namespace foxtailvale::gateway
--- a/libs/gateway/src/store_list.hpp
+++ b/libs/gateway/src/store_list.hpp
@@ -12,9 +12,9 @@
 namespace foxtailvale::gateway
 {
 
-// Lists a kind of the platform's objects once, page after page, or hands on
-// nothing when the store did not answer. The answer may be seconds old: it
-// costs a tenth of a confirmed one.
+// Lists a kind of the platform's objects once, page by page, and calls `done`
+// with the result, or with nothing when the store did not answer. The listing
+// may be seconds old: it costs a tenth of one that is confirmed to be current.
 void list_objects(
     boost::asio::io_context& loop,
     connection_pool& pool,
--- a/libs/gateway/src/store_watch.cpp
+++ b/libs/gateway/src/store_watch.cpp
@@ -8,26 +8,27 @@
 
 using std::chrono::milliseconds;
 
-// A call on which nothing comes for longer has met a connection that fell
-// silent: the store answers within milliseconds, and within a quarter of a
-// second when slow. What counts is the silence, not the whole time. Failure: a
+// A request on which no data arrives for longer has met a stalled connection:
+// the store answers within milliseconds, or a quarter of a second when slow.
+// The limit is for inactivity, not for the whole transfer. Failure: a
 // configuration of a megabyte goes to 33 entries that start together, over
-// links of 25 Mbit/s between regions; given up in the middle, it is asked for
-// again, the links stay full and no entry ever knows it.
-constexpr milliseconds list_limit{1500};
+// links of 25 Mbit/s between regions; if transfers were aborted midway they
+// would be requested again, the links would stay full, and no entry would ever
+// get the configuration.
+constexpr milliseconds inactivity_timeout{1500};
 
-// What a watch may take beyond its wait.
+// Time allowed for a watch request beyond its wait.
 constexpr milliseconds watch_slack{500};
 
-constexpr milliseconds first_pause{60};
-constexpr milliseconds longest_pause{1000};
+constexpr milliseconds min_retry_delay{60};
+constexpr milliseconds max_retry_delay{1000};
 
-// An outage shorter than this lets no entry lapse: endpoints are taken off the
-// list after three heartbeats of silence.
+// In an outage shorter than this no endpoint expires: the store removes an
+// endpoint after three missed heartbeats.
 constexpr milliseconds short_outage{1000};
 
-// How long after the store's return lapsed entries may still be missing.
-constexpr milliseconds return_time{2000};
+// How long after the store is back expired endpoints may still be missing.
+constexpr milliseconds recovery_time{2000};
 
 } // namespace
 
@@ -37,7 +38,7 @@
     watch_handlers callbacks,
     std::uint64_t known_era)
     : loop(event_loop), settings(chosen), handlers(std::move(callbacks)),
-      timer(event_loop), random{chosen.seed}, mark{known_era, 0}
+      timer(event_loop), random{chosen.seed}, position{known_era, 0}
 {
 }
 
@@ -56,9 +57,9 @@
     }
 }
 
-platform::store_mark const& store_watch::mark_read() const
+platform::store_mark const& store_watch::last_position() const
 {
-    return this->mark;
+    return this->position;
 }
 
 void store_watch::list(std::string const& after)
@@ -70,7 +71,8 @@
         this->list_began = base::boot_now();
     }
     this->send(
-        platform::list_request(this->settings.kind, after, false), list_limit);
+        platform::list_request(this->settings.kind, after, false),
+        inactivity_timeout);
 }
 
 void store_watch::watch()
@@ -78,14 +80,14 @@
     this->watching = true;
     this->send(
         platform::watch_request(
-            this->settings.kind, this->mark.revision, this->settings.wait),
+            this->settings.kind, this->position.revision, this->settings.wait),
         this->settings.wait + watch_slack);
 }
 
 void store_watch::send(
     net::request const& request, std::chrono::milliseconds limit)
 {
-    this->waiting_to_retry = false;
+    this->delay_pending = false;
     this->began = base::boot_now();
     this->status = 0;
     this->answer_era = 0;
@@ -123,10 +125,10 @@
              self->on_response();
          }});
     this->last_data = std::chrono::steady_clock::now();
-    this->give_up_after(limit);
+    this->arm_timeout(limit);
 }
 
-void store_watch::give_up_after(milliseconds limit)
+void store_watch::arm_timeout(milliseconds limit)
 {
     this->timer.expires_at(this->last_data + limit);
     this->timer.async_wait(
@@ -139,7 +141,7 @@
             }
             if (self->last_data != sent)
             {
-                self->give_up_after(list_limit);
+                self->arm_timeout(inactivity_timeout);
                 return;
             }
             self->connection->close();
@@ -147,34 +149,34 @@
         });
 }
 
-bool store_watch::take_era()
+bool store_watch::accept_era()
 {
-    if (this->answer_era == 0 || this->answer_era == this->mark.era)
+    if (this->answer_era == 0 || this->answer_era == this->position.era)
     {
         return true;
     }
-    if (this->answer_era < this->mark.era)
+    if (this->answer_era < this->position.era)
     {
-        this->fail("an answer of an era before", this->began);
+        this->fail("answer belongs to an earlier era", this->began);
         return false;
     }
-    auto const before = this->mark;
-    this->mark.era = this->answer_era;
+    auto const before = this->position;
+    this->position.era = this->answer_era;
     if (before.era == 0)
     {
         return true;
     }
-    this->mark.revision = 0;
-    this->regained = base::boot_now();
-    if (this->handlers.on_return)
+    this->position.revision = 0;
+    this->recovered_at = base::boot_now();
+    if (this->handlers.on_store_restored)
     {
-        this->handlers.on_return(before, this->mark);
+        this->handlers.on_store_restored(before, this->position);
     }
     if (this->status != 200)
     {
         return true;
     }
-    // What the answer tells may begin in the era before.
+    // The changes in the answer may start in the previous era.
     this->succeed();
     this->list({});
     return false;
@@ -183,7 +185,7 @@
 void store_watch::on_response()
 {
     constexpr unsigned history_gone = 410;
-    if (!this->take_era())
+    if (!this->accept_era())
     {
         return;
     }
@@ -195,9 +197,11 @@
     }
     if (this->status != 200)
     {
-        // Said at once, or the connection was cut: what a watch had waited
-        // before was no outage. Failure: watches are cut now and then, and an
-        // endpoint that left after it was used for a second and a half more.
+        // The answer came at once, or the connection was cut: the time that the
+        // watch had waited before was no outage. Failure: watches are cut now
+        // and then; counted from the start of the wait that looked like an
+        // outage, and an endpoint that left afterwards was used for 1.5 s
+        // longer.
         this->fail("status " + std::to_string(this->status), base::boot_now());
         return;
     }
@@ -210,18 +214,18 @@
     this->succeed();
     if (this->watching)
     {
-        this->take_changes(reply.value());
+        this->handle_changes(reply.value());
         return;
     }
-    this->take_list(std::move(reply.value()));
+    this->handle_list(std::move(reply.value()));
 }
 
-void store_watch::take_list(platform::store_reply reply)
+void store_watch::handle_list(platform::store_reply reply)
 {
     if (this->listed.empty())
     {
-        // Later pages may speak for a later revision; watching from the first
-        // page's sees what changed between them.
+        // Later pages may belong to a later revision; watching from the first
+        // page's revision delivers the changes made between them.
         this->listed_revision = reply.revision;
     }
     for (auto& object : reply.objects)
@@ -233,25 +237,25 @@
         this->list(std::string(this->listed.back().name));
         return;
     }
-    if (this->listed_revision < this->mark.revision)
+    if (this->listed_revision < this->position.revision)
     {
-        // An answer from before what was already seen would take back what
-        // has been adopted.
+        // A listing older than what was already seen would revert what has been
+        // adopted.
         this->listed.clear();
-        this->fail("an answer from before", this->began);
+        this->fail("listing is older than the known revision", this->began);
         return;
     }
-    this->mark.revision = this->listed_revision;
+    this->position.revision = this->listed_revision;
     this->handlers.on_list(this->listed, this->was_lost());
     this->listed.clear();
     this->handlers.on_confirmed(this->list_began);
     this->watch();
 }
 
-void store_watch::take_changes(platform::store_reply const& reply)
+void store_watch::handle_changes(platform::store_reply const& reply)
 {
     auto const lost = this->was_lost();
-    this->mark.revision = std::max(this->mark.revision, reply.revision);
+    this->position.revision = std::max(this->position.revision, reply.revision);
     for (auto const& object : reply.objects)
     {
         this->handlers.on_change(object, lost);
@@ -259,7 +263,7 @@
     this->handlers.on_confirmed(this->began);
     if (!reply.objects.empty() && this->settings.pause.count() > 0)
     {
-        this->next(this->settings.pause);
+        this->schedule_next(this->settings.pause);
         return;
     }
     this->watch();
@@ -268,13 +272,13 @@
 void store_watch::succeed()
 {
     this->failures = 0;
-    this->handlers.on_call(true, this->began);
+    this->handlers.on_request_end(true, this->began);
     if (this->lost_since)
     {
         auto const now = base::boot_now();
         if (now - *this->lost_since > short_outage)
         {
-            this->regained = now;
+            this->recovered_at = now;
         }
         this->lost_since.reset();
         this->handlers.on_lost(false, {});
@@ -283,39 +287,40 @@
 
 void store_watch::fail(std::string const& why, base::boot_time since)
 {
-    this->handlers.on_call(false, this->began);
+    this->handlers.on_request_end(false, this->began);
     if (!this->lost_since)
     {
         this->lost_since = since;
         this->handlers.on_lost(true, why);
     }
     auto const pause = std::min(
-        first_pause * (1 << std::min(this->failures, 5U)), longest_pause);
+        min_retry_delay * (1 << std::min(this->failures, 5U)), max_retry_delay);
     ++this->failures;
     auto const jitter = base::random_below(
         this->random, static_cast<std::uint64_t>(pause.count()) / 2 + 1);
-    this->next(pause + milliseconds(jitter));
+    this->schedule_next(pause + milliseconds(jitter));
 }
 
 bool store_watch::was_lost() const
 {
-    return this->regained && base::boot_now() - *this->regained < return_time;
+    return this->recovered_at &&
+           base::boot_now() - *this->recovered_at < recovery_time;
 }
 
-void store_watch::next(milliseconds delay)
+void store_watch::schedule_next(milliseconds delay)
 {
-    this->waiting_to_retry = true;
+    this->delay_pending = true;
     this->timer.expires_after(delay);
     this->timer.async_wait(
         [self = this->shared_from_this()](boost::system::error_code error)
         {
-            if (error || self->stopped || !self->waiting_to_retry)
+            if (error || self->stopped || !self->delay_pending)
             {
                 return;
             }
-            // After a failure a listing confirms the view at once; a watch
-            // would only after its wait.
-            if (self->lost_since || self->mark.revision == 0)
+            // After a failure, a listing confirms the view at once; a watch
+            // would only do so at the end of its wait.
+            if (self->lost_since || self->position.revision == 0)
             {
                 self->list({});
                 return;
--- a/libs/gateway/src/traffic.cpp
+++ b/libs/gateway/src/traffic.cpp
@@ -31,27 +31,27 @@
 } // namespace
 
 void note_received(
-    traffic_book& book,
+    traffic_counts& counts,
     std::string const& kind,
     std::string const& sender,
     std::size_t bytes)
 {
-    book.received[{kind, sender}] += bytes;
+    counts.received[{kind, sender}] += bytes;
 }
 
-void tell_traffic(
-    traffic_book& book,
+void flush_traffic(
+    traffic_counts& counts,
     direct::endpoint_book const& known,
     std::string const& own_domain,
     kernel::metrics& counters)
 {
-    if (book.received.empty())
+    if (counts.received.empty())
     {
         return;
     }
     auto const domains = domains_by_ip(known);
     std::map<std::pair<std::string, std::string>, std::uint64_t> sums;
-    for (auto const& [key, bytes] : std::exchange(book.received, {}))
+    for (auto const& [key, bytes] : std::exchange(counts.received, {}))
     {
         auto const& [kind, sender] = key;
         auto const found = domains.find(sender);
--- a/libs/gateway/src/view_feed.cpp
+++ b/libs/gateway/src/view_feed.cpp
@@ -1,4 +1,4 @@
-#include "page_text.hpp"
+#include "page_compression.hpp"
 
 #include <gateway/view_feed.hpp>
 #include <proto/foxtailvale.pb.h>
@@ -19,16 +19,17 @@
         std::max<std::int64_t>(0, (now - then).count()));
 }
 
-// What was as old as the page says when the page was asked for.
+// Converts an object of a page. Its age gets the transit time added, as the
+// page gives the age at the sender.
 platform::store_object
-read_object(wire::ViewObject const& sent, milliseconds on_its_way)
+read_object(wire::ViewObject const& sent, milliseconds transit_time)
 {
     platform::store_object object;
     object.name = sent.name();
     object.revision = sent.revision();
     object.content = sent.content();
     object.removed = sent.removed();
-    object.age = milliseconds(sent.age_ms()) + on_its_way;
+    object.age = milliseconds(sent.age_ms()) + transit_time;
     return object;
 }
 
@@ -38,11 +39,11 @@
     boost::asio::io_context& event_loop,
     watch_settings chosen,
     watch_handlers callbacks,
-    own_numbers given)
+    content_version_readers given)
     : loop(event_loop), settings(chosen), handlers(std::move(callbacks)),
-      numbers(std::move(given))
+      version_readers(std::move(given))
 {
-    this->view.number = this->numbers.of;
+    this->view.read_version = this->version_readers.read;
 }
 
 view_feed::~view_feed()
@@ -55,9 +56,9 @@
     return this->settings.kind;
 }
 
-platform::store_mark const& view_feed::mark() const
+platform::store_mark const& view_feed::position() const
 {
-    return this->view.mark;
+    return this->view.position;
 }
 
 bool view_feed::is_ahead() const
@@ -67,7 +68,8 @@
 
 std::uint64_t view_feed::in_force() const
 {
-    return this->numbers.in_force ? this->numbers.in_force() : 0;
+    return this->version_readers.in_force ? this->version_readers.in_force()
+                                          : 0;
 }
 
 std::optional<base::boot_time> view_feed::confirmed() const
@@ -82,7 +84,8 @@
         return;
     }
     this->watch = std::make_shared<store_watch>(
-        this->loop, this->settings, this->own_handlers(), this->view.mark.era);
+        this->loop, this->settings, this->wrapped_handlers(),
+        this->view.position.era);
     this->watch->start();
 }
 
@@ -95,25 +98,27 @@
     }
 }
 
-watch_handlers view_feed::own_handlers()
+watch_handlers view_feed::wrapped_handlers()
 {
-    // A stopped watch calls nothing any more, and the feed stops its watch.
+    // A stopped watch no longer calls its handlers, and the destructor stops
+    // the watch, so the pointer stays valid.
     auto* const self = this;
     watch_handlers wrapped = this->handlers;
     wrapped.on_list =
         [self](
             std::vector<platform::store_object> const& objects, bool was_lost)
     {
-        put_list(
-            self->view, objects, self->watch->mark_read(), base::boot_now());
+        apply_listing(
+            self->view, objects, self->watch->last_position(),
+            base::boot_now());
         self->handlers.on_list(objects, was_lost);
         self->on_change();
     };
     wrapped.on_change =
         [self](platform::store_object const& object, bool was_lost)
     {
-        put_change(
-            self->view, object, self->watch->mark_read(), base::boot_now());
+        apply_change(
+            self->view, object, self->watch->last_position(), base::boot_now());
         self->handlers.on_change(object, was_lost);
         self->on_change();
     };
@@ -126,9 +131,10 @@
 }
 
 void view_feed::confirm_by_peer(
-    platform::store_mark const& mark, base::boot_time until)
+    platform::store_mark const& position, base::boot_time until)
 {
-    if (this->view.mark.era != mark.era || this->view.mark < mark)
+    if (this->view.position.era != position.era ||
+        this->view.position < position)
     {
         return;
     }
@@ -140,63 +146,65 @@
 {
     auto const now = base::boot_now();
     wire::ViewPage page;
-    page.set_era(this->view.mark.era);
-    page.set_revision(this->view.mark.revision);
+    page.set_era(this->view.position.era);
+    page.set_revision(this->view.position.revision);
     page.set_age_ms(age_at(this->view.confirmed.value_or(now), now));
     page.set_was_lost(this->watch && this->watch->was_lost());
-    auto const part = page_after(this->view, known);
-    page.set_whole(part.whole);
-    for (auto const* kept : part.objects)
+    auto const changes = changes_since(this->view, known);
+    page.set_whole(changes.is_complete);
+    for (auto const* cached : changes.objects)
     {
         auto& sent = *page.add_objects();
-        sent.set_name(kept->object.name);
-        sent.set_revision(kept->revision);
-        sent.set_content(kept->object.content);
-        sent.set_removed(kept->object.removed);
-        sent.set_age_ms(age_at(kept->learned, now));
-        sent.set_ahead(this->view.ahead.contains(kept->object.name));
+        sent.set_name(cached->object.name);
+        sent.set_revision(cached->revision);
+        sent.set_content(cached->object.content);
+        sent.set_removed(cached->object.removed);
+        sent.set_age_ms(age_at(cached->learned, now));
+        sent.set_ahead(this->view.ahead.contains(cached->object.name));
     }
     return compress(page.SerializeAsString());
 }
 
-bool view_feed::take_page(std::string const& bytes, base::boot_time asked)
+bool view_feed::apply_page(
+    std::string const& bytes, base::boot_time requested_at)
 {
     wire::ViewPage page;
-    auto const text = expand(bytes);
+    auto const text = decompress(bytes);
     if (!text || !page.ParseFromString(*text) || page.revision() == 0)
     {
         return false;
     }
-    platform::store_mark const mark{page.era(), page.revision()};
-    if (mark.era > this->view.mark.era && !page.whole())
+    platform::store_mark const position{page.era(), page.revision()};
+    if (position.era > this->view.position.era && !page.whole())
     {
         return false;
     }
-    // Only forwards: an answer that was delayed must not take back what has
-    // been adopted.
-    if (mark > this->view.mark)
+    // Only a later position is applied: a delayed answer must not revert what
+    // has been adopted.
+    if (position > this->view.position)
     {
-        this->hand_on(page, asked);
+        this->deliver_page(page, requested_at);
     }
-    this->confirm_by_peer(mark, asked - milliseconds(page.age_ms()));
+    this->confirm_by_peer(position, requested_at - milliseconds(page.age_ms()));
     return true;
 }
 
-void view_feed::take_ahead(std::string const& bytes, base::boot_time asked)
+void view_feed::apply_ahead_page(
+    std::string const& bytes, base::boot_time requested_at)
 {
     wire::ViewPage page;
-    auto const text = expand(bytes);
+    auto const text = decompress(bytes);
     if (!text || !page.ParseFromString(*text) ||
-        page.era() != this->view.mark.era)
+        page.era() != this->view.position.era)
     {
         return;
     }
     auto const now = base::boot_now();
     for (auto const& sent : page.objects())
     {
-        auto const object = read_object(sent, now - asked);
-        if (this->numbers.of &&
-            this->numbers.of(object.content) > this->in_force())
+        auto const object = read_object(sent, now - requested_at);
+        if (this->version_readers.read &&
+            this->version_readers.read(object.content) > this->in_force())
         {
             hold_ahead(this->view, object, now);
             this->handlers.on_change(object, false);
@@ -204,40 +212,42 @@
     }
 }
 
-void view_feed::hand_on(wire::ViewPage const& page, base::boot_time asked)
+void view_feed::deliver_page(
+    wire::ViewPage const& page, base::boot_time requested_at)
 {
     auto const now = base::boot_now();
     std::vector<platform::store_object> objects;
     for (auto const& sent : page.objects())
     {
-        objects.push_back(read_object(sent, now - asked));
+        objects.push_back(read_object(sent, now - requested_at));
     }
     auto const lost = page.was_lost();
-    platform::store_mark const mark{page.era(), page.revision()};
-    if (this->view.mark.era != 0 && mark.era > this->view.mark.era &&
-        this->handlers.on_return)
+    platform::store_mark const position{page.era(), page.revision()};
+    if (this->view.position.era != 0 &&
+        position.era > this->view.position.era &&
+        this->handlers.on_store_restored)
     {
-        this->handlers.on_return(this->view.mark, mark);
+        this->handlers.on_store_restored(this->view.position, position);
     }
     if (page.whole())
     {
-        put_list(this->view, objects, mark, now);
+        apply_listing(this->view, objects, position, now);
         this->handlers.on_list(objects, lost);
     }
     else
     {
         for (auto const& object : objects)
         {
-            put_change(this->view, object, mark, now);
+            apply_change(this->view, object, position, now);
             this->handlers.on_change(object, lost);
         }
-        this->view.mark = mark;
+        this->view.position = position;
     }
     for (auto const& sent : page.objects())
     {
         if (sent.ahead())
         {
-            note_ahead(this->view, sent.name());
+            mark_ahead(this->view, sent.name());
         }
     }
 }
