--- a/libs/gateway/src/view_relay.cpp
+++ b/libs/gateway/src/view_relay.cpp
@@ -19,35 +19,37 @@
 
 using std::chrono::milliseconds;
 
-// Followers ask this often; two questions may be lost before one of them takes
-// its views for old.
-constexpr milliseconds round_time{250};
+// Interval of a follower's requests; two of them may be lost before it
+// considers its views old.
+constexpr milliseconds round_interval{250};
 
-// The same for one that knows nothing yet.
-constexpr milliseconds start_round_time{60};
+// The same for an entry that has no views yet.
+constexpr milliseconds initial_round_interval{60};
 
-// Rounds between two announcements of a watcher.
+// Number of rounds between two announcements of a watcher.
 constexpr std::uint64_t announce_rounds = 2;
 
-// A page of 29 KB takes a few milliseconds, across regions too; a large one
-// waits behind callers' answers on a link that is full.
-constexpr milliseconds page_limit{2500};
+// Time allowed for fetching a page. A page of 29 KB takes a few milliseconds,
+// also across regions; a large one queues behind answers to callers on a full
+// link.
+constexpr milliseconds page_timeout{2500};
 
-// A question that was not answered by then never will be.
-constexpr milliseconds answer_limit{2000};
+// A request that was not answered within this time is considered lost.
+constexpr milliseconds answer_timeout{2000};
 
-// The configuration is confirmed every 0.8 s by its watch, as of the beginning
-// of the watch; a quarter of a second is for a slow store.
-constexpr milliseconds freshest{1900};
+// Maximum age of a view that counts as fresh. The watch confirms the
+// configuration every 0.8 s, as of the start of the watch request; a quarter of
+// a second allows for a slow store.
+constexpr milliseconds max_fresh_age{1900};
 
-// A page that others ask for, too, is made once in this time. Failure: 145
-// entries started together, and the one that handed them the lists compressed
-// each list for each of them.
-constexpr milliseconds page_life{250};
+// A page requested by several entries is built once in this time. Failure: 145
+// entries started together, and the entry that served them compressed each list
+// anew for each of them.
+constexpr milliseconds page_cache_time{250};
 
 constexpr std::string_view page_root = "/views/";
 
-// Differences between entries in how soon they begin to watch.
+// Random differences between entries in how soon they begin to watch.
 constexpr std::uint64_t jitter_ms = 1500;
 
 std::uint64_t age_of(std::optional<base::boot_time> then)
@@ -57,7 +59,7 @@
         std::max<std::int64_t>(0, (now - then.value_or(now)).count()));
 }
 
-direct::watch_word word_of(wire::ViewNotice const& notice)
+direct::watch_word status_of(wire::ViewNotice const& notice)
 {
     if (notice.fresh())
     {
@@ -67,7 +69,7 @@
                              : direct::watch_word::not_watching;
 }
 
-// A number at the front of the text, which is taken off.
+// Parses a number at the front of the text and removes it.
 std::optional<std::uint64_t> take_number(std::string_view& text)
 {
     std::uint64_t number = 0;
@@ -81,36 +83,36 @@
     return number;
 }
 
-platform::store_mark mark_of(wire::ViewMark const& told)
+platform::store_mark position_of(wire::ViewMark const& mark)
 {
-    return {told.era(), told.revision()};
+    return {mark.era(), mark.revision()};
 }
 
-void set_mark(wire::ViewMark& told, view_feed const& feed)
+void set_mark(wire::ViewMark& mark, view_feed const& feed)
 {
-    told.set_kind(static_cast<std::uint32_t>(feed.kind()));
-    told.set_era(feed.mark().era);
-    told.set_revision(feed.mark().revision);
+    mark.set_kind(static_cast<std::uint32_t>(feed.kind()));
+    mark.set_era(feed.position().era);
+    mark.set_revision(feed.position().revision);
     if (feed.is_ahead())
     {
-        told.set_in_force(feed.in_force());
+        mark.set_in_force(feed.in_force());
     }
 }
 
-// A page's path: the kind, the era and the revision that the asker knows.
+// Path of a page: the kind, and the era and revision that the requester knows.
 std::string page_target(std::uint32_t kind, platform::store_mark const& known)
 {
     return std::string(page_root) + std::to_string(kind) + "/" +
            std::to_string(known.era) + "/" + std::to_string(known.revision);
 }
 
-struct asked_page
+struct page_request
 {
     std::uint32_t kind = 0;
     platform::store_mark known;
 };
 
-std::optional<asked_page> read_target(std::string_view target)
+std::optional<page_request> parse_target(std::string_view target)
 {
     if (!target.starts_with(page_root))
     {
@@ -128,7 +130,7 @@
         number = *taken;
         target.remove_prefix(std::min<std::size_t>(target.size(), 1));
     }
-    return asked_page{
+    return page_request{
         static_cast<std::uint32_t>(numbers[0]), {numbers[1], numbers[2]}};
 }
 
@@ -136,9 +138,9 @@
 
 view_relay::view_relay(
     std::shared_ptr<entry_context> shared,
-    std::vector<std::shared_ptr<view_feed>> kept)
-    : context(std::move(shared)), feeds(std::move(kept)),
-      page_door(this->make_page_door()), timer(this->context->loop)
+    std::vector<std::shared_ptr<view_feed>> view_feeds)
+    : context(std::move(shared)), feeds(std::move(view_feeds)),
+      page_server(this->make_page_server()), timer(this->context->loop)
 {
     this->duty.own = this->context->settings.ip;
     this->duty.own_domain = this->context->settings.failure_domain;
@@ -157,7 +159,7 @@
     {
         return "ip: " + error.message();
     }
-    if (auto fault = this->page_door->listen({ip, settings.peer_port}))
+    if (auto fault = this->page_server->listen({ip, settings.peer_port}))
     {
         return fault;
     }
@@ -167,7 +169,7 @@
         {
             if (auto const held = self.lock())
             {
-                held->plan_push();
+                held->schedule_notice();
             }
         };
         if (this->duty.watching)
@@ -189,7 +191,7 @@
 {
     this->stopped = true;
     this->timer.cancel();
-    this->page_door->stop();
+    this->page_server->stop();
     for (auto const& feed : this->feeds)
     {
         feed->stop_watch();
@@ -199,7 +201,7 @@
 void view_relay::run_round()
 {
     ++this->rounds;
-    this->follow_duty();
+    this->update_watch_duty();
     if (this->duty.watching)
     {
         if (this->rounds % announce_rounds == 0)
@@ -224,22 +226,22 @@
 
 milliseconds view_relay::time_to_next_round()
 {
-    if (!this->duty.watching && !this->knows_all())
+    if (!this->duty.watching && !this->has_all_views())
     {
-        return start_round_time;
+        return initial_round_interval;
     }
-    if (!std::exchange(this->is_in_step, true))
+    if (!std::exchange(this->is_staggered, true))
     {
-        // Not all in the same step: whoever begins to watch is heard by the
-        // others before they decide.
+        // A random first interval staggers the entries: the others hear of an
+        // entry that begins to watch before they decide themselves.
         return milliseconds(base::random_below(
             this->context->random,
-            static_cast<std::uint64_t>(round_time.count())));
+            static_cast<std::uint64_t>(round_interval.count())));
     }
-    return round_time;
+    return round_interval;
 }
 
-void view_relay::follow_duty()
+void view_relay::update_watch_duty()
 {
     auto const before = this->duty.watching;
     this->duty.neighbours = this->context->neighbours.size();
@@ -247,11 +249,11 @@
         direct::decide(this->duty, this->is_fresh(), base::boot_now());
     if (before != now)
     {
-        this->change_duty();
+        this->apply_watch_duty();
     }
 }
 
-void view_relay::change_duty()
+void view_relay::apply_watch_duty()
 {
     auto const now = this->duty.watching;
     kernel::log_event(
@@ -261,7 +263,7 @@
          {"entries", this->context->entry_addresses.size()},
          {"fresh", this->is_fresh()},
          {"view_age_ms", age_of(this->context->confirmed)}});
-    this->followed.clear();
+    this->confirmed_by_peer_at.clear();
     for (auto const& feed : this->feeds)
     {
         if (now)
@@ -273,48 +275,48 @@
             feed->stop_watch();
         }
     }
-    // Others that would begin, too, hear of it at once, and so do those that
-    // would leave it to this one.
-    this->tell_all();
+    // Entries that would begin to watch as well learn of it at once, and so do
+    // entries that would rely on this one.
+    this->notify_all();
 }
 
-bool view_relay::knows_all() const
+bool view_relay::has_all_views() const
 {
     return std::ranges::all_of(
         this->feeds,
         [](std::shared_ptr<view_feed> const& feed)
         {
-            return feed->mark().revision > 0;
+            return feed->position().revision > 0;
         });
 }
 
 bool view_relay::is_fresh() const
 {
     return !this->retired && this->context->confirmed &&
-           base::boot_now() - *this->context->confirmed <= freshest;
+           base::boot_now() - *this->context->confirmed <= max_fresh_age;
 }
 
 wire::Datagram view_relay::notice(std::uint64_t token) const
 {
     wire::Datagram message;
     message.set_from(this->context->settings.name);
-    auto& told = *message.mutable_view_notice();
-    told.set_failure_domain(this->context->settings.failure_domain);
-    told.set_token(token);
-    told.set_watching(this->duty.watching && !this->retired);
+    auto& body = *message.mutable_view_notice();
+    body.set_failure_domain(this->context->settings.failure_domain);
+    body.set_token(token);
+    body.set_watching(this->duty.watching && !this->retired);
     std::size_t known = 1;
-    for (auto const& [domain, entries] : this->askers)
+    for (auto const& [domain, entries] : this->requesters)
     {
         known += entries.size();
     }
-    told.set_entries(static_cast<std::uint32_t>(known));
-    told.set_fresh(this->duty.watching && this->is_fresh());
+    body.set_entries(static_cast<std::uint32_t>(known));
+    body.set_fresh(this->duty.watching && this->is_fresh());
     if (!this->duty.watching)
     {
         for (auto const& watcher :
              direct::sources(this->duty, base::boot_now()))
         {
-            told.add_watchers(watcher);
+            body.add_watchers(watcher);
         }
         return message;
     }
@@ -324,7 +326,7 @@
         {
             continue;
         }
-        auto& mark = *told.add_marks();
+        auto& mark = *body.add_marks();
         set_mark(mark, *feed);
         mark.set_age_ms(age_of(feed->confirmed()));
     }
@@ -335,49 +337,49 @@
 {
     if (this->duty.watching)
     {
-        this->tell_all();
+        this->notify_all();
     }
 }
 
-void view_relay::tell_all()
+void view_relay::notify_all()
 {
-    auto told = this->context->entry_addresses;
-    for (auto const& [domain, entries] : this->askers)
+    auto recipients = this->context->entry_addresses;
+    for (auto const& [domain, entries] : this->requesters)
     {
-        told.insert(entries.begin(), entries.end());
+        recipients.insert(entries.begin(), entries.end());
     }
-    this->tell(told);
+    this->send_notice(recipients);
 }
 
-void view_relay::tell_change()
+void view_relay::notify_change()
 {
     auto const now = base::boot_now();
-    auto told = this->context->entry_addresses;
+    auto recipients = this->context->entry_addresses;
     auto const choose_in = [&](auto const& by_domain)
     {
         for (auto const& [domain, entries] : by_domain)
         {
             if (direct::tells_at_once(this->duty, domain, now))
             {
-                told.insert(entries.begin(), entries.end());
+                recipients.insert(entries.begin(), entries.end());
                 continue;
             }
             for (auto const& entry : entries)
             {
-                told.erase(entry);
+                recipients.erase(entry);
             }
         }
     };
-    choose_in(this->askers);
+    choose_in(this->requesters);
     choose_in(this->context->book.domain_entries);
     for (auto const& [watcher, heard] : this->duty.watchers)
     {
-        told.insert(watcher);
+        recipients.insert(watcher);
     }
-    this->tell(told);
+    this->send_notice(recipients);
 }
 
-void view_relay::tell(std::set<std::string> const& entries)
+void view_relay::send_notice(std::set<std::string> const& entries)
 {
     auto const bytes = this->notice(0).SerializeAsString();
     for (auto const& entry : entries)
@@ -389,22 +391,22 @@
     }
 }
 
-void view_relay::plan_push()
+void view_relay::schedule_notice()
 {
-    // All changes of one answer of the store go out in one notice.
-    if (this->push_planned || !this->duty.watching)
+    // All changes in one answer of the store are covered by one notice.
+    if (this->notice_scheduled || !this->duty.watching)
     {
         return;
     }
-    this->push_planned = true;
+    this->notice_scheduled = true;
     boost::asio::post(
         this->context->loop,
         [self = this->shared_from_this()]
         {
-            self->push_planned = false;
+            self->notice_scheduled = false;
             if (self->duty.watching)
             {
-                self->tell_change();
+                self->notify_change();
             }
         });
 }
@@ -413,10 +415,10 @@
 {
     auto const now = base::boot_now();
     std::erase_if(
-        this->asked,
+        this->pending_asks,
         [now](auto const& entry)
         {
-            return now - entry.second > answer_limit;
+            return now - entry.second > answer_timeout;
         });
     for (auto const& source : direct::asked(this->duty, now))
     {
@@ -433,7 +435,7 @@
                 set_mark(*ask.add_ahead(), *feed);
             }
         }
-        this->asked[this->last_token] = now;
+        this->pending_asks[this->last_token] = now;
         this->send(source, message.SerializeAsString());
     }
 }
@@ -444,21 +446,21 @@
     {
         return;
     }
-    this->askers[ask.failure_domain()].insert(from);
+    this->requesters[ask.failure_domain()].insert(from);
     this->fetch_ahead(from, ask.ahead());
-    auto told = this->notice(ask.token());
+    auto answer = this->notice(ask.token());
     if (ask.wants_names())
     {
-        this->add_neighbours(*told.mutable_view_notice(), ask);
+        this->add_neighbours(*answer.mutable_view_notice(), ask);
     }
-    this->send(from, told.SerializeAsString());
+    this->send(from, answer.SerializeAsString());
 }
 
 void view_relay::add_neighbours(
-    wire::ViewNotice& told, wire::ViewAsk const& ask) const
+    wire::ViewNotice& answer, wire::ViewAsk const& ask) const
 {
     auto const& own = this->context->settings;
-    auto named = this->askers.at(ask.failure_domain());
+    auto named = this->requesters.at(ask.failure_domain());
     if (ask.failure_domain() == own.failure_domain)
     {
         named.insert(own.ip);
@@ -469,7 +471,7 @@
         auto const ip = boost::asio::ip::make_address_v4(entry, error);
         if (!error)
         {
-            told.add_neighbours(ip.to_uint());
+            answer.add_neighbours(ip.to_uint());
         }
     }
 }
@@ -490,7 +492,7 @@
 {
     auto const now = base::boot_now();
     direct::note_watcher(
-        this->duty, from, notice.failure_domain(), word_of(notice), now);
+        this->duty, from, notice.failure_domain(), status_of(notice), now);
     auto& hinted = this->context->entries.hinted;
     hinted = std::max<std::size_t>(hinted, notice.entries());
     for (auto const neighbour : notice.neighbours())
@@ -500,34 +502,36 @@
     }
     if (this->stopped || !notice.fresh())
     {
-        this->note_unfit_answer(notice);
+        this->note_unusable_answer(notice);
         return;
     }
     this->fetch_ahead(from, notice.marks());
     if (this->duty.watching)
     {
-        if (this->knows_all() || std::exchange(this->followed_at_start, true))
+        if (this->has_all_views() ||
+            std::exchange(this->followed_at_start, true))
         {
             return;
         }
-        // Failure: all machines lose power, and each entry lists a large
-        // configuration over links that are too narrow for all of them. Those
-        // near the store have it soon and hand it on, compressed. Tried once:
-        // where the watcher is heard but not reached, the own listing must not
-        // be given up again.
+        // Follows another entry instead of completing the first listing.
+        // Failure: after all machines lost power, each entry listed a large
+        // configuration over links too narrow for all of them; entries near the
+        // store have it soon and send it on compressed. Tried once: where
+        // notices of the watcher arrive but its pages cannot be fetched, this
+        // entry's own listing must not be abandoned a second time.
         direct::follow(this->duty, now);
-        this->change_duty();
+        this->apply_watch_duty();
     }
     if (!direct::may_take_from(this->duty, notice.failure_domain(), now))
     {
         return;
     }
-    auto const question = this->asked.find(notice.token());
+    auto const pending = this->pending_asks.find(notice.token());
     std::optional<base::boot_time> sent;
-    if (question != this->asked.end())
+    if (pending != this->pending_asks.end())
     {
-        sent = question->second;
-        this->asked.erase(question);
+        sent = pending->second;
+        this->pending_asks.erase(pending);
     }
     for (auto const& mark : notice.marks())
     {
@@ -536,14 +540,15 @@
         {
             continue;
         }
-        auto const told = mark_of(mark);
-        if (feed->mark() < told)
+        auto const other_position = position_of(mark);
+        if (feed->position() < other_position)
         {
             this->fetch_page(from, *feed, page_use::follow);
         }
-        else if (sent && feed->mark().era == told.era)
+        else if (sent && feed->position().era == other_position.era)
         {
-            feed->confirm_by_peer(told, *sent - milliseconds(mark.age_ms()));
+            feed->confirm_by_peer(
+                other_position, *sent - milliseconds(mark.age_ms()));
             this->note_followed(mark.kind(), *sent);
         }
     }
@@ -556,18 +561,19 @@
     for (auto const& mark : marks)
     {
         auto* const feed = this->feed_of(mark.kind());
-        auto const told = mark_of(mark);
+        auto const other_position = position_of(mark);
         if (feed != nullptr && mark.in_force() > feed->in_force() &&
-            feed->mark().era == told.era && feed->mark() >= told)
+            feed->position().era == other_position.era &&
+            feed->position() >= other_position)
         {
             this->fetch_page(from, *feed, page_use::ahead);
         }
     }
 }
 
-void view_relay::note_unfit_answer(wire::ViewNotice const& notice)
+void view_relay::note_unusable_answer(wire::ViewNotice const& notice)
 {
-    if (notice.token() == 0 || this->knows_all())
+    if (notice.token() == 0 || this->has_all_views())
     {
         return;
     }
@@ -578,15 +584,15 @@
     }
 }
 
-void view_relay::note_followed(std::uint32_t kind, base::boot_time asked_at)
+void view_relay::note_followed(std::uint32_t kind, base::boot_time requested_at)
 {
-    this->followed[kind] = asked_at;
-    auto least = asked_at;
+    this->confirmed_by_peer_at[kind] = requested_at;
+    auto least = requested_at;
     for (auto const& feed : this->feeds)
     {
-        auto const found =
-            this->followed.find(static_cast<std::uint32_t>(feed->kind()));
-        if (found == this->followed.end())
+        auto const found = this->confirmed_by_peer_at.find(
+            static_cast<std::uint32_t>(feed->kind()));
+        if (found == this->confirmed_by_peer_at.end())
         {
             return;
         }
@@ -608,14 +614,14 @@
         .method = "GET",
         .target = page_target(
             kind,
-            use == page_use::ahead ? platform::store_mark() : feed.mark()),
+            use == page_use::ahead ? platform::store_mark() : feed.position()),
         .fields = {{"Host", "entry"}},
         .body = {}};
     auto const began = base::boot_now();
     fetch(
         state.loop, state.pool,
         from + ":" + std::to_string(state.settings.peer_port), request,
-        page_limit,
+        page_timeout,
         [self = this->shared_from_this(), kind, use, from,
          began](std::optional<fetched> const& response)
         {
@@ -625,63 +631,64 @@
                 note_received(
                     self->context->traffic, "view_page", from,
                     response->body.size());
-                self->take_page(kind, use, response->body, began);
+                self->apply_page(kind, use, response->body, began);
             }
         });
 }
 
-void view_relay::take_page(
+void view_relay::apply_page(
     std::uint32_t kind,
     page_use use,
     std::string_view text,
-    base::boot_time asked_at)
+    base::boot_time requested_at)
 {
     auto* const target = this->feed_of(kind);
-    auto const held = take_number(text);
-    if (target == nullptr || !held || !text.starts_with('\n'))
+    auto const cached_for = take_number(text);
+    if (target == nullptr || !cached_for || !text.starts_with('\n'))
     {
         this->context->counters.count_error(base::error_kind::bad_frame);
         return;
     }
     text.remove_prefix(1);
-    auto const as_of = asked_at - milliseconds(*held);
+    auto const as_of = requested_at - milliseconds(*cached_for);
     if (use == page_use::ahead)
     {
-        target->take_ahead(std::string(text), as_of);
+        target->apply_ahead_page(std::string(text), as_of);
         return;
     }
-    // One that watches by now takes what its watch brings, in order.
-    if (!this->duty.watching && target->take_page(std::string(text), as_of))
+    // An entry that has begun to watch meanwhile applies only what its own
+    // watch delivers, in order.
+    if (!this->duty.watching && target->apply_page(std::string(text), as_of))
     {
         this->note_followed(kind, as_of);
     }
 }
 
 std::string
-view_relay::page_text(view_feed const& feed, platform::store_mark const& after)
+view_relay::page_body(view_feed const& feed, platform::store_mark const& after)
 {
     auto const now = base::boot_now();
-    auto& kept = this->pages[static_cast<std::uint32_t>(feed.kind())];
-    if (kept.after != after || kept.mark != feed.mark() ||
-        now - kept.made > page_life)
+    auto& cached = this->pages[static_cast<std::uint32_t>(feed.kind())];
+    if (cached.after != after || cached.position != feed.position() ||
+        now - cached.made > page_cache_time)
     {
-        kept = {after, feed.mark(), now, feed.page_for(after)};
+        cached = {after, feed.position(), now, feed.page_for(after)};
     }
-    return std::to_string((now - kept.made).count()) + "\n" + kept.bytes;
+    return std::to_string((now - cached.made).count()) + "\n" + cached.bytes;
 }
 
-std::shared_ptr<net::http_server> view_relay::make_page_door()
+std::shared_ptr<net::http_server> view_relay::make_page_server()
 {
     net::server_handlers handlers;
     handlers.on_request =
         [this](
             std::shared_ptr<net::server_session> const& session,
-            net::request const& call)
+            net::request const& received)
     {
-        auto const wanted = read_target(call.target);
+        auto const wanted = parse_target(received.target);
         auto* const feed = wanted ? this->feed_of(wanted->kind) : nullptr;
-        // Who asks for all takes from one that follows only what is ahead of
-        // the store.
+        // A requester that knows no position gets its page also from a
+        // follower; it uses only what is ahead of the store.
         auto const may_answer =
             this->duty.watching ||
             (wanted && wanted->known == platform::store_mark());
@@ -690,7 +697,7 @@
             session->respond(404, {}, {});
             return;
         }
-        session->respond(200, {}, this->page_text(*feed, wanted->known));
+        session->respond(200, {}, this->page_body(*feed, wanted->known));
     };
     handlers.on_fault = [](net::server_session& session, net::read_fault)
     {
--- a/libs/gateway/tests/event_splitter_tests.cpp
+++ b/libs/gateway/tests/event_splitter_tests.cpp
@@ -5,7 +5,7 @@
 namespace foxtailvale::gateway
 {
 
-TEST(event_splitter, only_whole_events_leave)
+TEST(event_splitter, only_complete_events_are_returned)
 {
     event_splitter state;
     EXPECT_TRUE(split(state, "id: 1\nda").empty());
@@ -13,10 +13,10 @@
     ASSERT_EQ(first.size(), 1U);
     EXPECT_EQ(first[0].bytes, "id: 1\ndata: a\n\n");
     EXPECT_EQ(first[0].id, 1U);
-    EXPECT_EQ(state.rest, "id: 2\n");
+    EXPECT_EQ(state.incomplete, "id: 2\n");
 }
 
-TEST(event_splitter, cuts_at_any_byte_give_the_same_events)
+TEST(event_splitter, splits_at_any_byte_give_the_same_events)
 {
     std::string const text =
         "id:7\r\ndata: a\r\n\r\n: note\n\nid: 8\ndata: b\ndata: c\n\n";
--- a/libs/gateway/tests/kept_view_tests.cpp
+++ b/libs/gateway/tests/kept_view_tests.cpp
@@ -32,53 +32,54 @@
     return {1, revision};
 }
 
-kept_view listed()
+cached_view listed()
 {
-    kept_view view;
-    put_list(view, {object("a", "1"), object("b", "1")}, at(10), start);
+    cached_view view;
+    apply_listing(view, {object("a", "1"), object("b", "1")}, at(10), start);
     return view;
 }
 
-// Takes a page as a follower does.
-void take(kept_view& follower, kept_view const& source)
+// Applies a page as a follower does.
+void follow(cached_view& follower, cached_view const& source)
 {
-    auto const page = page_after(source, follower.mark);
+    auto const page = changes_since(source, follower.position);
     std::vector<platform::store_object> objects;
-    for (auto const* kept : page.objects)
+    for (auto const* cached : page.objects)
     {
-        objects.push_back(kept->object);
-        objects.back().revision = kept->revision;
+        objects.push_back(cached->object);
+        objects.back().revision = cached->revision;
     }
-    if (page.whole)
+    if (page.is_complete)
     {
-        put_list(follower, objects, source.mark, start);
+        apply_listing(follower, objects, source.position, start);
         return;
     }
     for (auto const& object : objects)
     {
-        put_change(follower, object, source.mark, start);
+        apply_change(follower, object, source.position, start);
     }
-    follower.mark = std::max(follower.mark, source.mark);
+    follower.position = std::max(follower.position, source.position);
 }
 
-std::map<std::string, std::string> contents(kept_view const& view)
+std::map<std::string, std::string> contents(cached_view const& view)
 {
     std::map<std::string, std::string> found;
-    for (auto const& [name, kept] : view.objects)
+    for (auto const& [name, cached] : view.objects)
     {
-        found[name] = kept.object.content;
+        found[name] = cached.object.content;
     }
     return found;
 }
 
-// A number that writers count up.
+// The version number that writers increment.
 std::uint64_t number_in(std::string const& content)
 {
     return std::stoull(content);
 }
 
-// A store of a few objects that change in turn, with all that it ever held.
-struct played_store
+// A simulated store of a few objects that change at random, with the history of
+// all its changes.
+struct simulated_store
 {
     std::uint64_t revision = 10;
     std::map<std::string, platform::store_object> objects;
@@ -93,7 +94,7 @@
         changed.revision = this->revision;
         if (base::random_below(random, 3) == 0)
         {
-            // A removal does not always say its own revision.
+            // A removal does not always carry its own revision.
             changed = removal(name);
             changed.revision = this->revision - 1;
             if (this->objects.erase(name) == 0)
@@ -112,97 +113,97 @@
     std::vector<std::uint64_t> revisions;
 };
 
-void list(kept_view& view, played_store const& store)
+void list(cached_view& view, simulated_store const& store)
 {
     std::vector<platform::store_object> all;
     for (auto const& [name, held] : store.objects)
     {
         all.push_back(held);
     }
-    put_list(view, all, at(store.revision), start);
+    apply_listing(view, all, at(store.revision), start);
 }
 
-void watch(kept_view& view, played_store const& store)
+void watch(cached_view& view, simulated_store const& store)
 {
-    auto const after = view.mark.revision;
+    auto const after = view.position.revision;
     for (std::size_t place = 0; place < store.history.size(); ++place)
     {
         if (store.revisions[place] > after)
         {
-            put_change(view, store.history[place], at(store.revision), start);
+            apply_change(view, store.history[place], at(store.revision), start);
         }
     }
-    view.mark = at(store.revision);
+    view.position = at(store.revision);
 }
 
 } // namespace
 
-TEST(kept_view, whoever_has_nothing_gets_all)
+TEST(kept_view, an_unknown_position_gets_all_objects)
 {
     auto const view = listed();
-    auto const page = page_after(view, {});
-    EXPECT_TRUE(page.whole);
+    auto const page = changes_since(view, {});
+    EXPECT_TRUE(page.is_complete);
     EXPECT_EQ(page.objects.size(), 2U);
 }
 
-TEST(kept_view, whoever_has_the_list_gets_what_changed)
+TEST(kept_view, a_known_position_gets_only_the_changes)
 {
     auto view = listed();
-    put_change(view, object("a", "2"), at(12), start);
-    put_change(view, removal("b"), at(14), start);
-    auto const all = page_after(view, at(10));
-    EXPECT_FALSE(all.whole);
+    apply_change(view, object("a", "2"), at(12), start);
+    apply_change(view, removal("b"), at(14), start);
+    auto const all = changes_since(view, at(10));
+    EXPECT_FALSE(all.is_complete);
     ASSERT_EQ(all.objects.size(), 2U);
-    auto const last = page_after(view, at(12));
+    auto const last = changes_since(view, at(12));
     ASSERT_EQ(last.objects.size(), 1U);
     EXPECT_TRUE(last.objects[0]->object.removed);
-    EXPECT_TRUE(page_after(view, at(14)).objects.empty());
+    EXPECT_TRUE(changes_since(view, at(14)).objects.empty());
 }
 
-// Guards against a removal that is missed because a listing, and no event,
-// showed it.
-TEST(kept_view, what_a_new_listing_lacks_is_handed_on_as_removed)
+// Guards against a removal that followers miss because a listing, and not a
+// change, showed it.
+TEST(kept_view, objects_missing_from_a_new_listing_are_sent_as_removed)
 {
     auto view = listed();
     auto follower = view;
-    put_change(view, object("a", "2"), at(12), start);
-    put_list(view, {object("a", "3")}, at(20), start);
-    EXPECT_FALSE(page_after(view, at(12)).whole);
-    take(follower, view);
+    apply_change(view, object("a", "2"), at(12), start);
+    apply_listing(view, {object("a", "3")}, at(20), start);
+    EXPECT_FALSE(changes_since(view, at(12)).is_complete);
+    follow(follower, view);
     EXPECT_EQ(contents(follower), contents(view));
     EXPECT_EQ(follower.objects.size(), 1U);
 }
 
-// Guards against whole lists that cross the links each time that the list was
-// read anew: only what changed goes on.
-TEST(kept_view, a_new_listing_hands_on_no_more_than_what_changed)
+// Guards against complete lists being sent over the links each time the store
+// is listed again: only what changed is sent.
+TEST(kept_view, a_new_listing_sends_only_what_changed)
 {
-    kept_view view;
+    cached_view view;
     std::vector<platform::store_object> all;
     for (std::uint64_t number = 0; number < 3000; ++number)
     {
         all.push_back(object("e" + std::to_string(number), "1"));
         all.back().revision = 1 + number;
     }
-    put_list(view, all, at(4000), start);
+    apply_listing(view, all, at(4000), start);
     all[17].content = "2";
     all[17].revision = 4002;
-    put_list(view, all, at(4003), start);
-    auto const page = page_after(view, at(4000));
-    EXPECT_FALSE(page.whole);
+    apply_listing(view, all, at(4003), start);
+    auto const page = changes_since(view, at(4000));
+    EXPECT_FALSE(page.is_complete);
     EXPECT_EQ(page.objects.size(), 1U);
 }
 
-// Guards against followers of several watchers that miss a change between a
-// watcher's two listings, in random courses.
-TEST(kept_view, whoever_takes_pages_from_anybody_holds_what_the_store_holds)
+// Guards, in random scenarios, against a follower of several watchers that
+// misses a change made between two listings of one of them.
+TEST(kept_view, a_follower_of_several_watchers_holds_what_the_store_holds)
 {
     base::random_state random{77};
-    for (auto course = 0; course < 500; ++course)
+    for (auto scenario = 0; scenario < 500; ++scenario)
     {
-        played_store store;
-        std::array<kept_view, 2> watchers;
-        kept_view follower;
+        simulated_store store;
+        std::array<cached_view, 2> watchers;
+        cached_view follower;
         for (auto round = 0; round < 40; ++round)
         {
             auto const changes = base::random_below(random, 5);
@@ -211,7 +212,7 @@
                 store.change(random);
             }
             auto& watcher = watchers.at(base::random_below(random, 2));
-            auto const lists = watcher.mark.revision == 0 ||
+            auto const lists = watcher.position.revision == 0 ||
                                base::random_below(random, 3) == 0;
             if (lists)
             {
@@ -222,105 +223,107 @@
                 watch(watcher, store);
             }
             auto const& source = watchers.at(base::random_below(random, 2));
-            if (source.mark > follower.mark)
+            if (source.position > follower.position)
             {
-                take(follower, source);
+                follow(follower, source);
                 ASSERT_EQ(contents(follower), contents(source))
-                    << "seed 77, course " << course << ", round " << round;
+                    << "seed 77, scenario " << scenario << ", round " << round;
             }
         }
     }
 }
 
-// Guards against a second return that makes forget what the first lost.
-TEST(kept_view, what_is_ahead_outlives_a_second_return)
+// Guards against a second restore of the store that discards what was held
+// ahead of the store since the first.
+TEST(kept_view, content_ahead_of_the_store_survives_a_second_restore)
 {
-    kept_view view;
-    view.number = number_in;
-    put_list(view, {object("main", "7")}, at(50), start);
-    put_list(view, {object("main", "5")}, {2, 40}, start);
-    put_list(view, {object("main", "5")}, {3, 40}, start);
-    put_list(view, {object("main", "5")}, {3, 41}, start);
+    cached_view view;
+    view.read_version = number_in;
+    apply_listing(view, {object("main", "7")}, at(50), start);
+    apply_listing(view, {object("main", "5")}, {2, 40}, start);
+    apply_listing(view, {object("main", "5")}, {3, 40}, start);
+    apply_listing(view, {object("main", "5")}, {3, 41}, start);
     EXPECT_EQ(contents(view).at("main"), "7");
-    put_change(view, object("main", "8"), {3, 42}, start);
+    apply_change(view, object("main", "8"), {3, 42}, start);
     EXPECT_EQ(contents(view).at("main"), "8");
     EXPECT_TRUE(view.ahead.empty());
 }
 
-// Guards against removals that are remembered without end.
+// Guards against an unbounded list of removals.
 TEST(kept_view, removals_are_bounded)
 {
     auto view = listed();
-    for (std::uint64_t number = 0; number < 2 * most_removals; ++number)
+    for (std::uint64_t number = 0; number < 2 * max_removals; ++number)
     {
         auto const name = std::to_string(number);
-        put_change(view, object(name, "1"), at(11 + 2 * number), start);
-        put_change(view, removal(name), at(12 + 2 * number), start);
+        apply_change(view, object(name, "1"), at(11 + 2 * number), start);
+        apply_change(view, removal(name), at(12 + 2 * number), start);
     }
-    EXPECT_EQ(view.removed.size(), most_removals);
-    EXPECT_TRUE(page_after(view, at(10)).whole);
-    auto const late = at(view.mark.revision - 1);
-    EXPECT_FALSE(page_after(view, late).whole);
-    EXPECT_EQ(page_after(view, late).objects.size(), 1U);
+    EXPECT_EQ(view.removed.size(), max_removals);
+    EXPECT_TRUE(changes_since(view, at(10)).is_complete);
+    auto const late = at(view.position.revision - 1);
+    EXPECT_FALSE(changes_since(view, late).is_complete);
+    EXPECT_EQ(changes_since(view, late).objects.size(), 1U);
 }
 
-// Guards against a follower that takes a difference of another era.
-TEST(kept_view, whoever_is_of_another_era_gets_all)
+// Guards against a follower that applies a partial page of another era.
+TEST(kept_view, a_position_of_another_era_gets_all_objects)
 {
     auto view = listed();
-    put_list(view, {object("a", "1")}, {2, 5}, start);
+    apply_listing(view, {object("a", "1")}, {2, 5}, start);
     for (auto const& known : {at(10), at(4), platform::store_mark{3, 5}})
     {
-        EXPECT_TRUE(page_after(view, known).whole);
+        EXPECT_TRUE(changes_since(view, known).is_complete);
     }
-    EXPECT_FALSE(page_after(view, {2, 5}).whole);
+    EXPECT_FALSE(changes_since(view, {2, 5}).is_complete);
     EXPECT_EQ(view.objects.size(), 1U);
 }
 
-// Guards against what was in force falling back to what the copy holds.
-TEST(kept_view, a_return_does_not_take_back_what_is_newer_by_its_own_number)
+// Guards against active content being replaced by the older content of a
+// restored store.
+TEST(kept_view, a_restore_does_not_revert_content_with_a_higher_version)
 {
-    kept_view view;
-    view.number = number_in;
-    put_list(view, {object("main", "7"), object("m", "2")}, at(50), start);
-    put_list(view, {object("main", "5")}, {2, 40}, start);
+    cached_view view;
+    view.read_version = number_in;
+    apply_listing(view, {object("main", "7"), object("m", "2")}, at(50), start);
+    apply_listing(view, {object("main", "5")}, {2, 40}, start);
     EXPECT_EQ(contents(view).at("main"), "7");
     EXPECT_EQ(contents(view).at("m"), "2");
-    put_change(view, object("main", "6"), {2, 41}, start);
+    apply_change(view, object("main", "6"), {2, 41}, start);
     EXPECT_EQ(contents(view).at("main"), "7");
-    put_list(view, {object("main", "6")}, {2, 42}, start);
+    apply_listing(view, {object("main", "6")}, {2, 42}, start);
     EXPECT_EQ(contents(view).at("main"), "7");
     EXPECT_EQ(contents(view).at("m"), "2");
-    put_change(view, object("main", "8"), {2, 43}, start);
+    apply_change(view, object("main", "8"), {2, 43}, start);
     EXPECT_EQ(contents(view).at("main"), "8");
-    put_change(view, removal("main"), {2, 44}, start);
+    apply_change(view, removal("main"), {2, 44}, start);
     EXPECT_FALSE(view.objects.contains("main"));
 }
 
-// A version was named long ago and the list is read anew. Handed on as news,
-// it would be counted from now.
-TEST(kept_view, what_a_new_listing_repeats_keeps_its_age)
+// Guards against a version that was announced long ago counting as announced
+// now, because the list was read again.
+TEST(kept_view, unchanged_objects_of_a_new_listing_keep_their_age)
 {
     auto view = listed();
-    put_list(
+    apply_listing(
         view, {object("a", "1"), object("b", "2")}, at(20), {seconds(107)});
     EXPECT_EQ(view.objects.at("a").learned, start);
     EXPECT_EQ(view.objects.at("b").learned, (base::boot_time{seconds(107)}));
 }
 
-// Random courses of questions and answers that are late on their way, or lie
-// unread while one of both processes stands still: a follower never takes its
-// view for fresher than the watcher's was.
-TEST(kept_view, no_course_makes_a_followed_view_fresher_than_it_is)
+// Guards, in random scenarios, against a follower that considers its view
+// fresher than the watcher's was. Requests and answers are delayed in transit,
+// or lie unread while one of the processes is paused.
+TEST(kept_view, no_delay_makes_a_followed_view_fresher_than_it_is)
 {
     base::random_state random{23};
     auto const some = [&random](std::uint64_t most)
     {
         return milliseconds(base::random_below(random, most));
     };
-    for (auto course = 0; course < 2000; ++course)
+    for (auto scenario = 0; scenario < 2000; ++scenario)
     {
-        kept_view follower;
+        cached_view follower;
         auto read_began = start;
         auto now = start;
         auto latest_truth = start;
@@ -337,14 +340,14 @@
             now = answered + some(6000);
             confirm(follower, asked - age);
             ASSERT_LE(*follower.confirmed, latest_truth)
-                << "seed 23, course " << course;
+                << "seed 23, scenario " << scenario;
         }
     }
 }
 
 TEST(kept_view, a_confirmation_never_goes_back)
 {
-    kept_view view;
+    cached_view view;
     confirm(view, start);
     confirm(view, start - milliseconds(500));
     EXPECT_EQ(view.confirmed, start);
--- a/libs/gateway/tests/page_text_tests.cpp
+++ b/libs/gateway/tests/page_text_tests.cpp
@@ -1,11 +1,11 @@
-#include "../src/page_text.hpp"
+#include "../src/page_compression.hpp"
 
 #include <gtest/gtest.h>
 
 namespace foxtailvale::gateway
 {
 
-TEST(page_text, comes_back_as_it_was)
+TEST(page_text, decompresses_to_the_original_bytes)
 {
     std::string text;
     for (auto number = 0; number < 3000; ++number)
@@ -15,16 +15,16 @@
     text.push_back('\0');
     auto const sent = compress(text);
     EXPECT_LT(sent.size() * 4, text.size());
-    EXPECT_EQ(expand(sent), text);
+    EXPECT_EQ(decompress(sent), text);
 }
 
-// Another process's bytes: cut short, spoilt or no page at all. They must be
-// told from a page and never taken for an empty view.
-TEST(page_text, bytes_that_are_no_page_are_refused)
+// Guards against a view emptied by bytes of another process that are truncated,
+// corrupt or not a page at all: they must be rejected.
+TEST(page_text, invalid_bytes_are_rejected)
 {
     auto const sent = compress(std::string(20000, 'a') + "end");
-    EXPECT_NE(expand(sent.substr(0, sent.size() / 2)), std::string());
-    EXPECT_FALSE(expand("what is this"));
+    EXPECT_NE(decompress(sent.substr(0, sent.size() / 2)), std::string());
+    EXPECT_FALSE(decompress("what is this"));
 }
 
 } // namespace foxtailvale::gateway
--- a/libs/gateway/tests/traffic_tests.cpp
+++ b/libs/gateway/tests/traffic_tests.cpp
@@ -5,10 +5,11 @@
 namespace foxtailvale::gateway
 {
 
-// Guards against links that fill up and nothing tells with what.
-TEST(traffic, is_counted_by_kind_and_by_where_it_came_from)
+// Guards against links that fill up while no metric shows which messages fill
+// them.
+TEST(traffic, is_counted_by_kind_and_sender_domain)
 {
-    traffic_book book;
+    traffic_counts counts;
     direct::endpoint_book known;
     known.domain_entries["a"] = {"10.0.0.1"};
     direct::endpoint_record record;
@@ -16,13 +17,13 @@
     record.address = "10.0.1.1:80";
     record.failure_domain = "b";
     direct::put(known, record);
-    note_received(book, "page", "10.0.0.1", 100);
-    note_received(book, "page", "10.0.0.1", 20);
-    note_received(book, "reports", "10.0.1.1", 7);
-    note_received(book, "reports", "10.0.9.9", 3);
+    note_received(counts, "page", "10.0.0.1", 100);
+    note_received(counts, "page", "10.0.0.1", 20);
+    note_received(counts, "reports", "10.0.1.1", 7);
+    note_received(counts, "reports", "10.0.9.9", 3);
     kernel::metrics counters;
-    tell_traffic(book, known, "a", counters);
-    tell_traffic(book, known, "a", counters);
+    flush_traffic(counts, known, "a", counters);
+    flush_traffic(counts, known, "a", counters);
     auto const text = counters.expose();
     auto const line = [&text](std::string const& labels, std::string value)
     {
--- a/libs/gateway/tests/view_feed_tests.cpp
+++ b/libs/gateway/tests/view_feed_tests.cpp
@@ -1,4 +1,4 @@
-#include "../src/page_text.hpp"
+#include "../src/page_compression.hpp"
 
 #include <gateway/view_feed.hpp>
 #include <proto/foxtailvale.pb.h>
@@ -17,10 +17,10 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds on_its_way{1500};
+constexpr milliseconds transit_time{1500};
 constexpr milliseconds age_at_sender{200};
 
-// A page with one version, as another entry sends it.
+// A page with one version object, as another entry sends it.
 std::string one_version(bool whole)
 {
     wire::ViewPage page;
@@ -34,16 +34,17 @@
     return compress(page.SerializeAsString());
 }
 
-// What a feed hands on that was sent the page when it had asked long before.
-struct handed_on
+// The age that a feed delivers, and the page it serves next, after it received
+// a page long after requesting it.
+struct delivered_objects
 {
     std::optional<milliseconds> age;
     wire::ViewPage further;
 };
 
-handed_on take_late(std::string const& page)
+delivered_objects deliver_late(std::string const& page)
 {
-    handed_on found;
+    delivered_objects found;
     boost::asio::io_context loop;
     watch_settings chosen;
     chosen.kind = platform::object_kind::versions;
@@ -59,13 +60,13 @@
          },
          [](base::boot_time) {}, [](bool, std::string const&) {},
          [](bool, base::boot_time) {}});
-    EXPECT_TRUE(feed.take_page(page, base::boot_now() - on_its_way));
+    EXPECT_TRUE(feed.apply_page(page, base::boot_now() - transit_time));
     EXPECT_TRUE(found.further.ParseFromString(
-        expand(feed.page_for({})).value_or(std::string())));
+        decompress(feed.page_for({})).value_or(std::string())));
     return found;
 }
 
-// A page of the second era with the configuration of this number.
+// A complete page of era 2 with a configuration of this version number.
 std::string configuration_page(
     std::uint64_t revision, std::string const& number, bool ahead)
 {
@@ -81,7 +82,7 @@
     return compress(page.SerializeAsString());
 }
 
-// A feed of configurations whose content is their number.
+// A feed of configurations whose content is their version number.
 struct configuration_feed
 {
     configuration_feed()
@@ -113,19 +114,19 @@
                 {
                     ++this->returns;
                 }},
-            own_numbers{
+            content_version_readers{
                 number, [this]
                 {
                     return this->in_force;
                 }});
     }
 
-    // What it hands on to one that knows nothing.
-    std::string handed_on() const
+    // The content that it serves to an entry that knows nothing.
+    std::string delivered_objects() const
     {
         wire::ViewPage page;
         EXPECT_TRUE(page.ParseFromString(
-            expand(this->feed->page_for({})).value_or(std::string())));
+            decompress(this->feed->page_for({})).value_or(std::string())));
         return page.objects_size() == 1 ? page.objects(0).content() : "";
     }
 
@@ -137,28 +138,29 @@
 
 } // namespace
 
-// Guards against an entry that was told what is ahead of the store, reads the
-// store itself later and tells the next one less.
-TEST(view_feed, what_was_told_as_ahead_of_the_store_outlives_a_listing)
+// Guards against an entry that received content ahead of the store from another
+// entry, later lists the store itself, and then serves the older content.
+TEST(view_feed, content_received_ahead_of_the_store_survives_a_listing)
 {
     configuration_feed one;
     auto const now = base::boot_now();
-    EXPECT_TRUE(one.feed->take_page(configuration_page(5, "7", true), now));
+    EXPECT_TRUE(one.feed->apply_page(configuration_page(5, "7", true), now));
     EXPECT_TRUE(one.feed->is_ahead());
-    EXPECT_TRUE(one.feed->take_page(configuration_page(6, "5", false), now));
-    EXPECT_EQ(one.handed_on(), "7");
+    EXPECT_TRUE(one.feed->apply_page(configuration_page(6, "5", false), now));
+    EXPECT_EQ(one.delivered_objects(), "7");
     EXPECT_TRUE(one.feed->is_ahead());
-    EXPECT_TRUE(one.feed->take_page(configuration_page(7, "8", false), now));
-    EXPECT_EQ(one.handed_on(), "8");
+    EXPECT_TRUE(one.feed->apply_page(configuration_page(7, "8", false), now));
+    EXPECT_EQ(one.delivered_objects(), "8");
     EXPECT_FALSE(one.feed->is_ahead());
 }
 
-// Guards against pages, confirmations and differences of the era before.
-TEST(view_feed, nothing_of_an_era_before_is_believed)
+// Guards against pages, confirmations and partial pages of an earlier era being
+// applied.
+TEST(view_feed, nothing_of_an_earlier_era_is_applied)
 {
     configuration_feed one;
     auto const now = base::boot_now();
-    EXPECT_TRUE(one.feed->take_page(configuration_page(5, "7", false), now));
+    EXPECT_TRUE(one.feed->apply_page(configuration_page(5, "7", false), now));
     auto const confirmed = one.feed->confirmed();
     wire::ViewPage old;
     old.set_era(1);
@@ -168,52 +170,54 @@
     sent.set_name("main");
     sent.set_content("9");
     auto const later = now + milliseconds(1000);
-    one.feed->take_page(compress(old.SerializeAsString()), later);
+    one.feed->apply_page(compress(old.SerializeAsString()), later);
     EXPECT_EQ(one.in_force, 7U);
     one.feed->confirm_by_peer({1, 90}, later);
     EXPECT_EQ(one.feed->confirmed(), confirmed);
     old.set_era(3);
     old.set_whole(false);
-    EXPECT_FALSE(one.feed->take_page(compress(old.SerializeAsString()), later));
+    EXPECT_FALSE(
+        one.feed->apply_page(compress(old.SerializeAsString()), later));
     EXPECT_EQ(one.in_force, 7U);
     EXPECT_EQ(one.returns, 0U);
     old.set_whole(true);
-    EXPECT_TRUE(one.feed->take_page(compress(old.SerializeAsString()), later));
+    EXPECT_TRUE(one.feed->apply_page(compress(old.SerializeAsString()), later));
     EXPECT_EQ(one.returns, 1U);
 }
 
-// Guards against a store that shows less being believed by an entry that holds
-// less, too, while another knows more.
-TEST(view_feed, only_what_is_newer_is_taken_from_what_is_ahead)
+// Guards against an entry that believes a restored store which shows older
+// content, while another entry holds newer content.
+TEST(view_feed, only_newer_content_is_applied_from_an_ahead_page)
 {
     configuration_feed one;
     auto const now = base::boot_now();
-    EXPECT_TRUE(one.feed->take_page(configuration_page(5, "5", false), now));
-    one.feed->take_ahead(configuration_page(4, "7", true), now);
+    EXPECT_TRUE(one.feed->apply_page(configuration_page(5, "5", false), now));
+    one.feed->apply_ahead_page(configuration_page(4, "7", true), now);
     EXPECT_EQ(one.in_force, 7U);
-    EXPECT_EQ(one.feed->mark().revision, 5U);
-    one.feed->take_ahead(configuration_page(4, "6", true), now);
+    EXPECT_EQ(one.feed->position().revision, 5U);
+    one.feed->apply_ahead_page(configuration_page(4, "6", true), now);
     EXPECT_EQ(one.in_force, 7U);
-    EXPECT_EQ(one.handed_on(), "7");
+    EXPECT_EQ(one.delivered_objects(), "7");
 }
 
-// A page that named a version waited on a full link. Its objects were as old as
-// the sender had said, and the older version was used for longer by the time
-// that the page was on its way; so by whoever was told next.
-TEST(view_feed, the_way_of_a_page_counts_into_the_age_of_what_it_brings)
+// Guards against a page whose transit time is not counted. A page that
+// announced a version was delayed on a full link; its objects were given the
+// age at the sender, so this entry, and each one it served, used the older
+// version for longer by the transit time.
+TEST(view_feed, the_transit_time_of_a_page_adds_to_the_age_of_its_objects)
 {
     for (auto const whole : {false, true})
     {
-        auto const found = take_late(one_version(whole));
+        auto const found = deliver_late(one_version(whole));
         ASSERT_TRUE(found.age);
-        EXPECT_GE(*found.age, on_its_way + age_at_sender);
-        EXPECT_LT(*found.age, 2 * on_its_way);
+        EXPECT_GE(*found.age, transit_time + age_at_sender);
+        EXPECT_LT(*found.age, 2 * transit_time);
         ASSERT_EQ(found.further.objects_size(), 1);
         EXPECT_GE(
             milliseconds(found.further.objects(0).age_ms()),
-            on_its_way + age_at_sender);
+            transit_time + age_at_sender);
         EXPECT_LT(
-            milliseconds(found.further.objects(0).age_ms()), 2 * on_its_way);
+            milliseconds(found.further.objects(0).age_ms()), 2 * transit_time);
     }
 }
 
