--- a/libs/gateway/src/call.cpp
+++ b/libs/gateway/src/call.cpp
@@ -47,7 +47,7 @@
 
 void call::start()
 {
-    this->session->on_gone(
+    this->session->on_client_disconnected(
         [self = this->shared_from_this()]
         {
             self->on_caller_gone();
@@ -427,7 +427,7 @@
 {
     this->done = true;
     this->timer.cancel();
-    this->session->on_gone({});
+    this->session->on_client_disconnected({});
 }
 
 } // namespace foxtailvale::gateway
--- a/libs/net/include/net/http_server.hpp
+++ b/libs/net/include/net/http_server.hpp
@@ -102,7 +102,7 @@
     std::chrono::milliseconds time_since_last_byte();
 
     // Called once when the client leaves before the answer is whole.
-    void on_gone(std::function<void()> callback);
+    void on_client_disconnected(std::function<void()> callback);
 
     // Whether bytes of an answer are still on their way out.
     bool is_sending() const;
--- a/libs/net/src/server_session.cpp
+++ b/libs/net/src/server_session.cpp
@@ -115,7 +115,7 @@
     return !this->closed && !this->writing.empty();
 }
 
-void server_session::on_gone(std::function<void()> callback)
+void server_session::on_client_disconnected(std::function<void()> callback)
 {
     this->gone = std::move(callback);
 }
