--- a/libs/http/include/http/http_server.hpp
+++ b/libs/http/include/http/http_server.hpp
@@ -41,7 +41,7 @@
 {
     std::string address;
     std::uint16_t port = 0;
-    std::uint16_t most_threads = 64;
+    std::uint16_t max_threads = 64;
 };
 
 // POCO's HTTP server around one function, which is called on a thread per
--- a/libs/http/src/http_server.cpp
+++ b/libs/http/src/http_server.cpp
@@ -48,10 +48,10 @@
     bad_head_handler bad_head)
     : table(std::make_shared<connection_table>()),
       threads(std::make_unique<Poco::ThreadPool>(
-          1, options.most_threads, idle_thread_seconds, stack_bytes))
+          1, options.max_threads, idle_thread_seconds, stack_bytes))
 {
     Poco::Net::HTTPServerParams::Ptr params = new Poco::Net::HTTPServerParams;
-    params->setMaxThreads(options.most_threads);
+    params->setMaxThreads(options.max_threads);
     params->setMaxQueued(most_waiting_connections);
     params->setKeepAlive(true);
     auto const shared = std::make_shared<connection_context>(connection_context{
--- a/libs/node/include/node/worker_pool.hpp
+++ b/libs/node/include/node/worker_pool.hpp
@@ -17,7 +17,7 @@
 class worker_pool
 {
 public:
-    explicit worker_pool(std::size_t most_threads);
+    explicit worker_pool(std::size_t max_threads);
     // Waits for running work; work that has not begun is dropped.
     ~worker_pool();
     worker_pool(worker_pool const&) = delete;
@@ -29,7 +29,7 @@
 private:
     void work_loop();
 
-    std::size_t most_threads;
+    std::size_t max_threads;
     std::mutex mutex;
     std::condition_variable ready;
     std::deque<task> queue;
--- a/libs/node/src/worker_pool.cpp
+++ b/libs/node/src/worker_pool.cpp
@@ -3,7 +3,7 @@
 namespace foxtailvale::node
 {
 
-worker_pool::worker_pool(std::size_t most) : most_threads(most)
+worker_pool::worker_pool(std::size_t most) : max_threads(most)
 {
 }
 
@@ -29,7 +29,7 @@
     }
     this->queue.push_back(std::move(work));
     if (this->queue.size() > this->idle &&
-        this->threads.size() < this->most_threads)
+        this->threads.size() < this->max_threads)
     {
         this->threads.emplace_back(
             [this]
--- a/standins/src/standin_settings.cpp
+++ b/standins/src/standin_settings.cpp
@@ -23,7 +23,7 @@
     http::server_options options;
     options.address = reader.text("address");
     options.port = static_cast<std::uint16_t>(reader.number("port", 1, 65535));
-    options.most_threads = server_threads;
+    options.max_threads = server_threads;
     return options;
 }
 
