--- a/libs/net/include/net/client_connection.hpp
+++ b/libs/net/include/net/client_connection.hpp
@@ -21,50 +21,56 @@
 
 using tcp_endpoint = boost::asio::ip::tcp::endpoint;
 
-// "IP:PORT" as an address; nothing when it is not one.
+// Parses "IP:PORT"; returns nothing when the text has another form or the port
+// is zero.
 std::optional<tcp_endpoint> parse_endpoint(std::string_view text);
 
-// How an exchange on a connection ended.
+// How an exchange, one request and its response, ended.
 enum class exchange_end
 {
-    // The response came whole.
+    // The response was received completely.
     whole,
-    // No connection came about: refused, unreachable or reset while opening.
+    // The connection could not be opened: refused, unreachable or reset while
+    // opening.
     not_connected,
-    // The connection ended or was reset before the response was whole.
+    // The connection was closed or reset before the response was complete.
     cut,
-    // Bytes came that are no response.
+    // The received bytes are not an HTTP response.
     not_http,
-    // The owner gave no bytes when the connection was ready for them.
+    // The request source returned no bytes when the connection was ready for
+    // them.
     withheld,
 };
 
-// Facts of an exchange. What they mean for the request is decided elsewhere.
+// What was observed during an exchange. What it means for the request is
+// decided by the owner of the exchange.
 struct exchange_result
 {
     exchange_end end = exchange_end::cut;
-    // At least one byte of the request was handed to the connection.
+    // At least one byte of the request was handed to the system.
     bool written = false;
     bool head_seen = false;
     // The connection had carried another exchange before.
     bool reused = false;
 };
 
-// What the owner of an exchange says of a response's head.
+// Decision of an exchange's owner about a response head.
 enum class head_verdict
 {
     take,
-    // It answers something else: drop it and wait for the next one.
+    // The response belongs to another request: discard it and wait for the next
+    // one.
     skip,
 };
 
-// The bytes of a request, asked for at the moment at which they are written;
-// nothing when the request is not to be sent any more. Failure: a connection
-// takes up to seconds to open, and a time limit in the bytes that counts from
-// the decision to send ends that much too late at the server.
+// Produces the bytes of a request at the moment they are written; returns
+// nothing when the request must no longer be sent. Opening a connection can
+// take seconds: a time limit in the request that was computed at the decision
+// to send would end that much too late at the server.
 using request_source = std::function<std::optional<std::string>()>;
 
-// Called from the loop, never from inside start(). All three must be set.
+// Callbacks of an exchange. They run on the loop, never inside start(). All
+// three must be set.
 struct exchange_handlers
 {
     std::function<head_verdict(response_head const&)> on_head;
@@ -75,8 +81,9 @@
 class response_reader;
 
 // One connection to a server, which carries one exchange after the other. It
-// reads at all times, so that an end or stray bytes between two exchanges are
-// seen before the next one begins. Lives as long as an operation is pending.
+// reads at all times, so that a close or stray bytes between two exchanges are
+// detected before the next one begins. Pending operations keep the object
+// alive.
 class client_connection : public std::enable_shared_from_this<client_connection>
 {
 public:
@@ -85,29 +92,32 @@
     client_connection(client_connection const&) = delete;
     client_connection& operator=(client_connection const&) = delete;
 
-    // Sends the bytes of one request and reports its response. The connection
-    // is opened when it is not open yet. Must not be called while an exchange
-    // runs or after close().
+    // Sends one request and reports its response to the handlers. Opens the
+    // connection when it is not open yet. Must not be called while an exchange
+    // is running or after close().
     void start(std::string bytes, exchange_handlers handlers);
 
-    // The same for bytes that depend on when they are written. Without any the
-    // exchange ends as withheld and the connection is left as it was.
+    // Like the other overload, for a request whose bytes depend on when they
+    // are written. When the source returns none, the exchange ends as withheld
+    // and the connection stays as it was.
     void start(request_source source, exchange_handlers handlers);
 
-    // Ends the connection; no handler is called any more. An exchange that is
-    // under way is broken off with a reset. Failure: a server stood still, and
-    // at its return the system delivered the requests that had been given up
-    // meanwhile, each whole and with an orderly end behind it; they ran.
+    // Closes the connection; no handler is called afterwards. A running
+    // exchange is aborted with a reset. With an orderly close, the system of a
+    // stalled server would deliver timed-out requests when the server resumes,
+    // each complete and followed by a normal end of stream, and they would be
+    // executed.
     void close();
 
     // Whether another exchange may be started on it.
     bool is_idle() const;
 
-    // How long nothing has happened on it. Means something between exchanges.
+    // Time since the connection was last used. Only meaningful between
+    // exchanges.
     std::chrono::steady_clock::duration idle_time() const;
 
-    // Idle time after which the server may close it, as it said last; zero
-    // when it said nothing.
+    // Idle time after which the server may close the connection, as it
+    // announced last; zero when it announced none.
     std::chrono::seconds announced_idle_limit() const;
 
     // Whether the connection is established.
@@ -115,33 +125,34 @@
 
 private:
     void begin(exchange_handlers next);
-    void reset_at_close();
+    void reset_on_close();
     void connect();
-    // Asks for the bytes of the request and writes them.
+    // Gets the bytes of the request from the source and writes them.
     void write_request();
-    // Hands on what the system takes now, and the rest when it has room.
+    // Writes what the system accepts now, and the rest when the socket is
+    // writable again.
     void write();
-    void await_room();
+    void await_writable();
     void read();
     void on_read(boost::system::error_code error, std::size_t count);
-    void feed();
+    void parse_input();
     void on_input_end(bool orderly);
     void finish(exchange_end end);
-    void note_head(response_head const& head);
+    void on_response_head(response_head const& head);
 
     boost::asio::ip::tcp::socket socket;
     tcp_endpoint address;
-    std::array<char, 8192> block{};
-    std::string inbox;
-    // Asked once, when the connection is open.
+    std::array<char, 8192> read_buffer{};
+    std::string input;
+    // Called once, when the connection is open.
     request_source source;
-    std::string outbox;
+    std::string output;
     std::size_t sent = 0;
     std::unique_ptr<response_reader> reader;
     std::shared_ptr<exchange_handlers const> handlers;
     bool running = false;
     bool open = false;
-    bool dead = false;
+    bool closed = false;
     bool skipping = false;
     bool keeps_alive = true;
     std::size_t exchanges = 0;
--- a/libs/net/include/net/datagram_socket.hpp
+++ b/libs/net/include/net/datagram_socket.hpp
@@ -17,8 +17,9 @@
 
 using udp_endpoint = boost::asio::ip::udp::endpoint;
 
-// Sends and receives datagrams at one address. Datagrams may be lost, and one
-// that cannot be sent at once is dropped: whoever needs it says it again.
+// Sends and receives UDP datagrams at one address. Datagrams may be lost, and
+// one that cannot be sent at once is dropped; a sender that needs delivery must
+// send again.
 class datagram_socket : public std::enable_shared_from_this<datagram_socket>
 {
 public:
@@ -26,7 +27,7 @@
 
     datagram_socket(boost::asio::io_context& loop, handler callback);
 
-    // Binds and begins to receive; an error text when it cannot.
+    // Binds and starts to receive; returns an error text on failure.
     std::optional<std::string> open(udp_endpoint address);
 
     void send(udp_endpoint const& target, std::string_view bytes);
@@ -39,7 +40,7 @@
     boost::asio::ip::udp::socket socket;
     handler on_datagram;
     udp_endpoint source;
-    std::array<char, 65536> block{};
+    std::array<char, 65536> receive_buffer{};
 };
 
 } // namespace foxtailvale::net
--- a/libs/net/include/net/http_server.hpp
+++ b/libs/net/include/net/http_server.hpp
@@ -21,18 +21,18 @@
 namespace foxtailvale::net
 {
 
-// What a client may send and how long it may take.
+// Limits on the size of requests and on the time that clients may take.
 struct server_limits
 {
     std::uint32_t head_bytes = 16 * 1024;
     std::uint64_t body_bytes = 4 * 1024 * 1024;
     // From the first byte of a request to the end of its head.
     std::chrono::milliseconds head_time{3000};
-    // Without any byte, between two requests or inside one.
+    // Longest time without any byte, between two requests or inside one.
     std::chrono::milliseconds idle_time{15000};
 };
 
-// Why a request was turned away before a handler saw it.
+// Why a request was rejected before it reached the request handler.
 enum class read_fault
 {
     malformed,
@@ -43,29 +43,29 @@
 
 class server_session;
 
-// What a server does with requests; called from the loop.
+// Callbacks of a server; they run on the loop.
 struct server_handlers
 {
     std::function<void(std::shared_ptr<server_session> const&, request)>
         on_request;
-    // Answers the fault; the session is closed afterwards.
+    // Sends the error response; the session is closed afterwards.
     std::function<void(server_session&, read_fault)> on_fault;
 };
 
-// What all sessions of one server have in common.
+// State shared by all sessions of one server.
 struct server_state
 {
     server_limits limits;
     server_handlers handlers;
-    // Each answer announces the end of its connection.
+    // Each response announces that its connection is closed after it.
     bool closing = false;
     std::size_t open_sessions = 0;
     std::size_t running_requests = 0;
 };
 
-// One client's connection: reads one request at a time, hands it to the
-// handler and writes what the handler answers. Kept alive by its pending
-// operations and by whoever answers.
+// One client's connection: reads one request at a time, passes it to the
+// request handler and writes the response. Kept alive by its pending operations
+// and by the code that is going to respond.
 class server_session : public std::enable_shared_from_this<server_session>
 {
 public:
@@ -76,44 +76,47 @@
     server_session(server_session const&) = delete;
     server_session& operator=(server_session const&) = delete;
 
-    // Begins to read.
+    // Starts reading.
     void open();
 
-    // Answers the request at hand with a whole body.
+    // Answers the current request with a complete body.
     void respond(unsigned status, field_list fields, std::string_view body);
 
-    // Begins an answer whose body follows piece by piece.
+    // Starts a response whose body follows in parts through send().
     void begin_stream(unsigned status, field_list fields);
     void send(std::string_view data);
-    // Marks the body as whole.
+    // Ends the body that begin_stream() started.
     void end_stream();
 
-    // Ends the connection in the middle of the answer once what was given so
-    // far is written.
+    // Closes the connection in the middle of the response, once everything sent
+    // so far has been written.
     void close_after_writing();
 
-    // Ends the connection in the middle of the answer, so that the client
-    // cannot take what it has for whole.
+    // Closes the connection in the middle of the response, so that the client
+    // cannot take what it received for a complete one.
     void abort();
 
-    // How long the last byte that came has been there. Failure: a process that
-    // stood still read what had come meanwhile, and gave each request its whole
-    // time anew.
+    // Time since the system received the last byte of this connection; zero
+    // when the system does not tell. A process that was stalled reads late what
+    // arrived meanwhile: counted from the read, each request would get its full
+    // time limit again.
     std::chrono::milliseconds time_since_last_byte();
 
-    // Called once when the client leaves before the answer is whole.
+    // Sets the callback that runs once when the client disconnects before the
+    // response is complete.
     void on_client_disconnected(std::function<void()> callback);
 
-    // Whether bytes of an answer are still on their way out.
+    // Whether bytes of a response are still being written.
     bool is_sending() const;
 
-    // Whether the client is still there and waits for an answer.
+    // Whether the client is still connected and waits for a response.
     bool awaits_answer() const;
 
-    // Closes it when its limits are exceeded at this moment.
-    void check(std::chrono::steady_clock::time_point now);
+    // Enforces the time limits: closes the session when it is idle for too
+    // long, and rejects a request whose head takes too long.
+    void enforce_limits(std::chrono::steady_clock::time_point now);
 
-    // Closes it when no request is under way.
+    // Closes the session when no request is in progress.
     void close_if_idle();
 
     tcp_endpoint client() const;
@@ -123,39 +126,41 @@
 
     void read();
     void on_read(boost::system::error_code error, std::size_t count);
-    void feed();
-    // Whether the client's end lies behind what was read of it. Failure: a
-    // process that stood still read the requests of callers who had given up
-    // meanwhile, and handed them on before it read that they had left.
-    bool client_has_left();
+    void parse_input();
+    // Whether the client closed its connection right behind what was read of
+    // it. Without this check, a process that was stalled would read the
+    // requests of callers that disconnected meanwhile and forward them before
+    // it reads that they are gone.
+    bool has_client_closed();
     void dispatch();
     void fail(read_fault fault);
     void write(std::string_view bytes);
     void write_next();
     void finish_answer();
-    void leave();
+    void on_client_lost();
     void close();
 
     boost::asio::ip::tcp::socket socket;
     std::shared_ptr<server_state> state;
     tcp_endpoint remote;
-    std::array<char, 8192> block{};
-    std::string inbox;
-    // What is being written and what comes after it.
+    std::array<char, 8192> read_buffer{};
+    std::string input;
+    // Bytes being written, and bytes queued behind them.
     std::string writing;
     std::string pending;
     std::unique_ptr<reader> parser;
-    std::function<void()> gone;
+    std::function<void()> disconnect_handler;
     bool busy = false;
     bool streaming = false;
     bool reading = false;
     bool last_answer = false;
-    bool ends_early = false;
-    // The answer was the last one; what still comes is read and dropped, since
-    // closing with unread bytes would reset the connection under the answer.
+    bool close_when_written = false;
+    // The last response is sent; further input is read and discarded, since
+    // closing with unread bytes would reset the connection before the client
+    // has read the response.
     bool lingering = false;
     bool closed = false;
-    bool client_keeps = true;
+    bool client_keeps_alive = true;
     std::chrono::steady_clock::time_point last_byte;
     std::chrono::steady_clock::time_point request_began;
 };
@@ -169,19 +174,20 @@
         server_limits limits,
         server_handlers handlers);
 
-    // Binds and listens; an error text when it cannot.
+    // Binds and listens; returns an error text on failure.
     std::optional<std::string> listen(tcp_endpoint address);
 
-    // Limits for requests read from now on.
+    // Sets the limits for requests read from now on.
     void set_limits(server_limits limits);
 
-    // From now on each answer announces the end of its connection.
+    // From now on, each response announces that its connection is closed after
+    // it.
     void announce_close();
 
-    // Takes no new connections and ends those without a request.
+    // Stops accepting connections and closes those without a request.
     void close_idle();
 
-    // Ends everything.
+    // Stops accepting connections and aborts all sessions.
     void stop();
 
     std::size_t running_requests() const;
--- a/libs/net/include/net/message.hpp
+++ b/libs/net/include/net/message.hpp
@@ -18,7 +18,7 @@
 
 using field_list = std::vector<field>;
 
-// A whole request.
+// A complete request.
 struct request
 {
     std::string method;
@@ -35,31 +35,31 @@
     field_list fields;
     // The sender keeps the connection open after this response.
     bool keep_alive = false;
-    // The body's end is marked by a length or by chunks; otherwise it ends
-    // with the connection.
+    // The end of the body is marked by a length or by chunks; otherwise the
+    // body ends with the connection.
     bool delimited = false;
 };
 
-// True when both are equal without regard to ASCII case.
+// Compares two names without regard to ASCII case.
 bool equal_names(std::string_view left, std::string_view right);
 
 // Value of the first field of that name; nothing when there is none.
 std::optional<std::string_view>
 find_field(field_list const& fields, std::string_view name);
 
-// True for fields that concern one connection only (RFC 9110, 7.6.1) or that
+// True for fields that apply to one connection only (RFC 9110, 7.6.1) or
 // describe the framing, which each hop writes anew.
 bool is_hop_field(std::string_view name);
 
-// The fields without those of one connection, among them those that the
-// Connection field names.
+// The fields without those that apply to one connection only, which include the
+// fields listed in the Connection field.
 field_list end_to_end_fields(field_list const& fields);
 
-// A request as bytes. The length is written for a body, and for methods that
+// Serializes a request. The length is written for a body, and for methods that
 // usually have one.
 std::string serialize(request const& message);
 
-// The head of a response as bytes, with the blank line.
+// Serializes the head of a response, including the blank line.
 std::string serialize_head(unsigned status, field_list const& fields);
 
 } // namespace foxtailvale::net
--- a/libs/net/src/client_connection.cpp
+++ b/libs/net/src/client_connection.cpp
@@ -17,7 +17,8 @@
 
 using clock = std::chrono::steady_clock;
 
-// The number after "timeout=" in a Keep-Alive field; zero when there is none.
+// Reads the seconds after "timeout=" in a Keep-Alive field; zero when there are
+// none.
 std::chrono::seconds read_idle_limit(std::string_view value)
 {
     constexpr std::string_view key = "timeout=";
@@ -32,7 +33,7 @@
     return std::chrono::seconds{seconds};
 }
 
-bool is_interim(response_head const& head)
+bool is_informational(response_head const& head)
 {
     return head.status >= 100 && head.status < 200;
 }
@@ -85,7 +86,7 @@
 
 void client_connection::begin(exchange_handlers next)
 {
-    this->outbox.clear();
+    this->output.clear();
     this->sent = 0;
     this->handlers = std::make_shared<exchange_handlers const>(std::move(next));
     this->running = true;
@@ -105,16 +106,16 @@
 {
     if (this->running)
     {
-        this->reset_at_close();
+        this->reset_on_close();
     }
-    this->dead = true;
+    this->closed = true;
     this->running = false;
     this->handlers.reset();
     boost::system::error_code ignored;
     this->socket.close(ignored);
 }
 
-void client_connection::reset_at_close()
+void client_connection::reset_on_close()
 {
     boost::system::error_code ignored;
     this->socket.set_option(boost::asio::socket_base::linger(true, 0), ignored);
@@ -122,7 +123,7 @@
 
 bool client_connection::is_idle() const
 {
-    return !this->dead && !this->running;
+    return !this->closed && !this->running;
 }
 
 clock::duration client_connection::idle_time() const
@@ -137,7 +138,7 @@
 
 bool client_connection::is_open() const
 {
-    return this->open && !this->dead;
+    return this->open && !this->closed;
 }
 
 void client_connection::connect()
@@ -146,7 +147,7 @@
         this->address,
         [self = this->shared_from_this()](boost::system::error_code error)
         {
-            if (self->dead)
+            if (self->closed)
             {
                 return;
             }
@@ -170,16 +171,16 @@
     auto bytes = std::exchange(this->source, {})();
     if (bytes)
     {
-        this->outbox = std::move(*bytes);
+        this->output = std::move(*bytes);
         this->write();
         return;
     }
-    // Not from inside start().
+    // Posted, since handlers never run inside start().
     boost::asio::post(
         this->socket.get_executor(),
         [self = this->shared_from_this()]
         {
-            if (!self->dead && self->running)
+            if (!self->closed && self->running)
             {
                 self->finish(exchange_end::withheld);
             }
@@ -188,38 +189,39 @@
 
 void client_connection::write()
 {
-    // Written here and not by an operation of the loop. Failure: the server's
-    // end is seen before the operation's report, the request counts as never
-    // written, and one that may run once only is sent to a second server.
-    while (this->sent < this->outbox.size())
+    // Written synchronously, not by an operation of the loop: the loop may
+    // report the server's close before it reports the write. The request would
+    // then count as never written, and one that must run only once would be
+    // sent to a second server.
+    while (this->sent < this->output.size())
     {
         boost::system::error_code error;
-        auto const rest = boost::asio::buffer(this->outbox) + this->sent;
+        auto const rest = boost::asio::buffer(this->output) + this->sent;
         auto const count = this->socket.write_some(rest, error);
         this->sent += count;
         this->result.written = this->result.written || count > 0;
         if (error == boost::asio::error::would_block)
         {
-            this->await_room();
+            this->await_writable();
             return;
         }
         if (error)
         {
-            // The pending read reports the end, after whatever the server may
-            // still have said.
+            // The pending read reports the close, after any response that the
+            // server may still have sent.
             this->keeps_alive = false;
             return;
         }
     }
 }
 
-void client_connection::await_room()
+void client_connection::await_writable()
 {
     this->socket.async_wait(
         boost::asio::ip::tcp::socket::wait_write,
         [self = this->shared_from_this()](boost::system::error_code error)
         {
-            if (!error && !self->dead && self->running)
+            if (!error && !self->closed && self->running)
             {
                 self->write();
             }
@@ -229,7 +231,7 @@
 void client_connection::read()
 {
     this->socket.async_read_some(
-        boost::asio::buffer(this->block),
+        boost::asio::buffer(this->read_buffer),
         [self = this->shared_from_this()](
             boost::system::error_code error, std::size_t count)
         {
@@ -240,7 +242,7 @@
 void client_connection::on_read(
     boost::system::error_code error, std::size_t count)
 {
-    if (this->dead)
+    if (this->closed)
     {
         return;
     }
@@ -251,27 +253,27 @@
     }
     if (!this->running)
     {
-        // Bytes that no exchange waits for: nothing that follows on this
-        // connection can be trusted to belong to the next request.
+        // Bytes outside of an exchange: nothing that follows on this connection
+        // can be trusted to belong to the next request.
         this->close();
         return;
     }
     this->last_use = clock::now();
-    this->inbox.append(this->block.data(), count);
-    this->feed();
-    if (!this->dead)
+    this->input.append(this->read_buffer.data(), count);
+    this->parse_input();
+    if (!this->closed)
     {
         this->read();
     }
 }
 
-void client_connection::feed()
+void client_connection::parse_input()
 {
-    // A handler may close the connection, which drops the handlers while one
+    // A handler may close the connection, which releases the handlers while one
     // of them still runs.
     auto const keep = this->shared_from_this();
     auto const held = this->handlers;
-    while (this->running && !this->inbox.empty())
+    while (this->running && !this->input.empty())
     {
         if (!this->reader)
         {
@@ -279,7 +281,7 @@
             this->reader = std::make_unique<response_reader>(
                 [this](response_head const& head)
                 {
-                    this->note_head(head);
+                    this->on_response_head(head);
                 },
                 [this](std::string_view data)
                 {
@@ -291,12 +293,12 @@
         }
         boost::system::error_code error;
         auto const used =
-            this->reader->put(boost::asio::buffer(this->inbox), error);
-        if (this->dead)
+            this->reader->put(boost::asio::buffer(this->input), error);
+        if (this->closed)
         {
             return;
         }
-        this->inbox.erase(0, used);
+        this->input.erase(0, used);
         if (error && error != boost::beast::http::error::need_more)
         {
             this->finish(exchange_end::not_http);
@@ -319,9 +321,9 @@
     }
 }
 
-void client_connection::note_head(response_head const& head)
+void client_connection::on_response_head(response_head const& head)
 {
-    if (is_interim(head))
+    if (is_informational(head))
     {
         this->skipping = true;
         return;
@@ -331,7 +333,7 @@
         return;
     }
     auto const verdict = this->handlers->on_head(head);
-    if (this->dead)
+    if (this->closed)
     {
         return;
     }
@@ -378,12 +380,12 @@
     {
         this->last_use = clock::now();
     }
-    // Bytes beyond the response, or a request that was answered before all of
-    // it was sent, make the connection unfit for the next exchange.
+    // Bytes after the response, or a request that was answered before all of it
+    // was sent, make the connection unusable for the next exchange.
     auto const orderly =
         end == exchange_end::whole || end == exchange_end::withheld;
-    auto const clean = orderly && this->keeps_alive && this->inbox.empty() &&
-                       this->sent == this->outbox.size();
+    auto const clean = orderly && this->keeps_alive && this->input.empty() &&
+                       this->sent == this->output.size();
     auto const held = std::move(this->handlers);
     auto const facts = this->result;
     if (!clean)
--- a/libs/net/src/datagram_socket.cpp
+++ b/libs/net/src/datagram_socket.cpp
@@ -49,7 +49,7 @@
 void datagram_socket::receive()
 {
     this->socket.async_receive_from(
-        boost::asio::buffer(this->block), this->source,
+        boost::asio::buffer(this->receive_buffer), this->source,
         [self = this->shared_from_this()](
             boost::system::error_code error, std::size_t count)
         {
@@ -59,7 +59,8 @@
             }
             if (!error)
             {
-                self->on_datagram(self->source, {self->block.data(), count});
+                self->on_datagram(
+                    self->source, {self->receive_buffer.data(), count});
             }
             self->receive();
         });
--- a/libs/net/src/http_server.cpp
+++ b/libs/net/src/http_server.cpp
@@ -8,7 +8,8 @@
 namespace
 {
 
-// How often idle and slow clients are looked for; their limits are seconds.
+// Interval at which idle and slow clients are checked; their limits are
+// seconds.
 constexpr std::chrono::milliseconds sweep_interval{250};
 
 } // namespace
@@ -140,7 +141,7 @@
             {
                 if (auto const session = entry.lock())
                 {
-                    session->check(now);
+                    session->enforce_limits(now);
                 }
             }
             self->sweep();
--- a/libs/net/src/message.cpp
+++ b/libs/net/src/message.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-constexpr std::array hop_names{
+constexpr std::array hop_field_names{
     std::string_view{"connection"},
     std::string_view{"keep-alive"},
     std::string_view{"proxy-connection"},
@@ -37,7 +37,7 @@
     text.append(name).append(": ").append(value).append("\r\n");
 }
 
-// Names in the Connection fields, separated by commas.
+// Field names listed in the Connection fields, where commas separate them.
 std::vector<std::string> connection_options(field_list const& fields)
 {
     std::vector<std::string> options;
@@ -92,7 +92,7 @@
 bool is_hop_field(std::string_view name)
 {
     return std::ranges::any_of(
-        hop_names,
+        hop_field_names,
         [name](std::string_view hop)
         {
             return equal_names(hop, name);
--- a/libs/net/src/response_reader.cpp
+++ b/libs/net/src/response_reader.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-// Responses hold a few hundred bytes of head; what is larger is refused as no
-// response, so that a faulty server cannot fill the memory.
-constexpr std::uint32_t most_head_bytes = 16 * 1024;
+// Response heads have a few hundred bytes. Larger ones are rejected as invalid,
+// so that a faulty server cannot exhaust the memory.
+constexpr std::uint32_t max_head_bytes = 16 * 1024;
 
 } // namespace
 
@@ -20,15 +20,15 @@
     : head_handler(std::move(on_head)), data_handler(std::move(on_data))
 {
     this->eager(true);
-    this->header_limit(most_head_bytes);
-    // Boost 1.74 takes "no limit" for a limit of nothing where the length is
-    // announced, and reports every such body as too large.
+    this->header_limit(max_head_bytes);
+    // Boost 1.74 treats "no limit" as a limit of zero bytes for bodies with an
+    // announced length, and rejects each of them as too large.
     this->body_limit(std::numeric_limits<std::uint64_t>::max());
 }
 
 response_head const& response_reader::head() const
 {
-    return this->found;
+    return this->received_head;
 }
 
 void response_reader::on_request_impl(
@@ -40,22 +40,23 @@
 void response_reader::on_response_impl(int status, text, int, error_code& error)
 {
     error = {};
-    this->found.status = static_cast<unsigned>(status);
+    this->received_head.status = static_cast<unsigned>(status);
 }
 
 void response_reader::on_field_impl(
     boost::beast::http::field, text name, text value, error_code& error)
 {
     error = {};
-    this->found.fields.push_back({std::string(name), std::string(value)});
+    this->received_head.fields.push_back(
+        {std::string(name), std::string(value)});
 }
 
 void response_reader::on_header_impl(error_code& error)
 {
     error = {};
-    this->found.keep_alive = this->keep_alive();
-    this->found.delimited = !this->need_eof();
-    this->head_handler(this->found);
+    this->received_head.keep_alive = this->keep_alive();
+    this->received_head.delimited = !this->need_eof();
+    this->head_handler(this->received_head);
 }
 
 void response_reader::on_body_init_impl(
--- a/libs/net/src/response_reader.hpp
+++ b/libs/net/src/response_reader.hpp
@@ -11,7 +11,8 @@
 namespace foxtailvale::net
 {
 
-// Beast's parser with its findings handed on as they come.
+// Parses responses with Beast and passes the head and the body data to
+// callbacks as they arrive.
 class response_reader : public boost::beast::http::basic_parser<false>
 {
 public:
@@ -45,7 +46,7 @@
 
     std::function<void(response_head const&)> head_handler;
     std::function<void(std::string_view)> data_handler;
-    response_head found;
+    response_head received_head;
 };
 
 } // namespace foxtailvale::net
--- a/libs/net/src/server_session.cpp
+++ b/libs/net/src/server_session.cpp
@@ -23,13 +23,14 @@
 using clock = std::chrono::steady_clock;
 namespace http = boost::beast::http;
 
-// A client that does not read its answer holds that much memory at most.
-constexpr std::size_t most_unsent_bytes = 8UL * 1024 * 1024;
+// Bounds the memory used for a client that does not read its response.
+constexpr std::size_t max_unsent_bytes = 8UL * 1024 * 1024;
 
-// Bytes taken in beside the request at hand; a client that sends ahead waits.
-constexpr std::size_t most_ahead_bytes = 64UL * 1024;
+// Input buffered beyond the current request; a client that pipelines more is
+// not read until the request is answered.
+constexpr std::size_t max_buffered_bytes = 64UL * 1024;
 
-// How long a client may take to close after the last answer.
+// Time that a client has to close the connection after the last response.
 constexpr std::chrono::seconds linger_time{2};
 
 read_fault fault_of(boost::system::error_code error)
@@ -45,7 +46,7 @@
     return read_fault::malformed;
 }
 
-request take_request(http::request<http::string_body>& message)
+request to_request(http::request<http::string_body>& message)
 {
     request taken;
     taken.method = std::string(message.method_string());
@@ -72,7 +73,7 @@
     }
 
     http::request_parser<http::string_body> parser;
-    bool continued = false;
+    bool continue_sent = false;
 };
 
 server_session::server_session(
@@ -117,7 +118,7 @@
 
 void server_session::on_client_disconnected(std::function<void()> callback)
 {
-    this->gone = std::move(callback);
+    this->disconnect_handler = std::move(callback);
 }
 
 void server_session::read()
@@ -128,7 +129,7 @@
     }
     this->reading = true;
     this->socket.async_read_some(
-        boost::asio::buffer(this->block),
+        boost::asio::buffer(this->read_buffer),
         [self = this->shared_from_this()](
             boost::system::error_code error, std::size_t count)
         {
@@ -145,7 +146,7 @@
     }
     if (error)
     {
-        this->leave();
+        this->on_client_lost();
         return;
     }
     this->last_byte = clock::now();
@@ -154,25 +155,25 @@
         this->read();
         return;
     }
-    if (this->inbox.empty() && !this->parser)
+    if (this->input.empty() && !this->parser)
     {
         this->request_began = this->last_byte;
     }
-    this->inbox.append(this->block.data(), count);
+    this->input.append(this->read_buffer.data(), count);
     if (!this->busy)
     {
-        this->feed();
+        this->parse_input();
     }
-    if (this->inbox.size() < most_ahead_bytes)
+    if (this->input.size() < max_buffered_bytes)
     {
         this->read();
     }
 }
 
-void server_session::feed()
+void server_session::parse_input()
 {
     while (!this->busy && !this->closed && !this->lingering &&
-           !this->inbox.empty())
+           !this->input.empty())
     {
         if (!this->parser)
         {
@@ -180,8 +181,8 @@
         }
         auto& message = this->parser->parser;
         boost::system::error_code error;
-        auto const used = message.put(boost::asio::buffer(this->inbox), error);
-        this->inbox.erase(0, used);
+        auto const used = message.put(boost::asio::buffer(this->input), error);
+        this->input.erase(0, used);
         if (error && error != http::error::need_more)
         {
             this->fail(fault_of(error));
@@ -189,20 +190,20 @@
         }
         if (message.is_done())
         {
-            if (this->client_has_left())
+            if (this->has_client_closed())
             {
-                this->leave();
+                this->on_client_lost();
                 return;
             }
             this->dispatch();
             continue;
         }
-        if (message.is_header_done() && !this->parser->continued &&
+        if (message.is_header_done() && !this->parser->continue_sent &&
             equal_names(
                 std::string(message.get()[http::field::expect]),
                 "100-continue"))
         {
-            this->parser->continued = true;
+            this->parser->continue_sent = true;
             this->write("HTTP/1.1 100 Continue\r\n\r\n");
         }
         if (error || used == 0)
@@ -225,7 +226,7 @@
     return std::chrono::milliseconds(known.tcpi_last_data_recv);
 }
 
-bool server_session::client_has_left()
+bool server_session::has_client_closed()
 {
     char next = 0;
     auto const got =
@@ -237,20 +238,20 @@
 void server_session::dispatch()
 {
     auto message = this->parser->parser.release();
-    this->client_keeps = message.keep_alive();
+    this->client_keeps_alive = message.keep_alive();
     this->parser.reset();
     this->busy = true;
     this->streaming = false;
     ++this->state->running_requests;
     this->state->handlers.on_request(
-        this->shared_from_this(), take_request(message));
+        this->shared_from_this(), to_request(message));
 }
 
 void server_session::fail(read_fault fault)
 {
     this->parser.reset();
-    this->inbox.clear();
-    this->client_keeps = false;
+    this->input.clear();
+    this->client_keeps_alive = false;
     this->busy = true;
     ++this->state->running_requests;
     this->state->handlers.on_fault(*this, fault);
@@ -263,7 +264,7 @@
     {
         return;
     }
-    this->last_answer = !this->client_keeps || this->state->closing;
+    this->last_answer = !this->client_keeps_alive || this->state->closing;
     fields.push_back({"Content-Length", std::to_string(body.size())});
     if (this->last_answer)
     {
@@ -282,7 +283,7 @@
         return;
     }
     this->streaming = true;
-    this->last_answer = !this->client_keeps || this->state->closing;
+    this->last_answer = !this->client_keeps_alive || this->state->closing;
     fields.push_back({"Transfer-Encoding", "chunked"});
     if (this->last_answer)
     {
@@ -317,8 +318,8 @@
 
 void server_session::close_after_writing()
 {
-    this->gone = {};
-    this->ends_early = true;
+    this->disconnect_handler = {};
+    this->close_when_written = true;
     if (this->writing.empty())
     {
         this->close();
@@ -327,19 +328,19 @@
 
 void server_session::abort()
 {
-    this->gone = {};
+    this->disconnect_handler = {};
     this->close();
 }
 
 void server_session::finish_answer()
 {
-    this->gone = {};
+    this->disconnect_handler = {};
     this->busy = false;
     --this->state->running_requests;
     if (this->last_answer)
     {
         this->lingering = true;
-        this->inbox.clear();
+        this->input.clear();
     }
 }
 
@@ -350,9 +351,9 @@
         return;
     }
     this->pending.append(bytes);
-    if (this->pending.size() > most_unsent_bytes)
+    if (this->pending.size() > max_unsent_bytes)
     {
-        this->leave();
+        this->on_client_lost();
         return;
     }
     if (this->writing.empty())
@@ -376,7 +377,7 @@
             }
             if (error)
             {
-                self->leave();
+                self->on_client_lost();
                 return;
             }
             self->last_byte = clock::now();
@@ -385,7 +386,7 @@
                 self->write_next();
                 return;
             }
-            if (self->ends_early)
+            if (self->close_when_written)
             {
                 self->close();
                 return;
@@ -401,15 +402,15 @@
             if (!self->busy)
             {
                 self->request_began = self->last_byte;
-                self->feed();
+                self->parse_input();
                 self->read();
             }
         });
 }
 
-void server_session::leave()
+void server_session::on_client_lost()
 {
-    auto const callback = std::exchange(this->gone, {});
+    auto const callback = std::exchange(this->disconnect_handler, {});
     this->close();
     if (callback)
     {
@@ -430,14 +431,14 @@
 
 void server_session::close_if_idle()
 {
-    if (!this->busy && this->inbox.empty() && !this->parser &&
+    if (!this->busy && this->input.empty() && !this->parser &&
         this->writing.empty())
     {
         this->close();
     }
 }
 
-void server_session::check(clock::time_point now)
+void server_session::enforce_limits(clock::time_point now)
 {
     if (this->closed || this->busy)
     {
--- a/libs/net/tests/exchange_tests.cpp
+++ b/libs/net/tests/exchange_tests.cpp
@@ -15,8 +15,8 @@
 
 tcp_endpoint const loopback(boost::asio::ip::make_address("127.0.0.1"), 0);
 
-// A server that writes the same bytes to each connection once it has read
-// anything, and may then close it.
+// A server that writes the same bytes to each connection each time it has read
+// something, and may close the connection after that.
 class raw_server
 {
 public:
@@ -77,15 +77,15 @@
     std::vector<std::shared_ptr<tcp::socket>> sockets;
 };
 
-// What one exchange came to.
-struct seen
+// Outcome of one exchange.
+struct exchange_outcome
 {
     unsigned status = 0;
     std::string body;
     std::optional<exchange_result> result;
 };
 
-exchange_handlers note_in(seen& found)
+exchange_handlers record_into(exchange_outcome& found)
 {
     return {
         [&found](response_head const& head)
@@ -106,14 +106,14 @@
 std::string const plain_request =
     serialize(request{"GET", "/", {{"Host", "here"}}, {}});
 
-seen exchange_with(std::string const& bytes, bool closes)
+exchange_outcome exchange_with(std::string const& bytes, bool closes)
 {
     boost::asio::io_context loop;
     raw_server server(loop, bytes, closes);
     auto const connection =
         std::make_shared<client_connection>(loop, server.address());
-    seen found;
-    connection->start(plain_request, note_in(found));
+    exchange_outcome found;
+    connection->start(plain_request, record_into(found));
     while (!found.result && loop.run_one() > 0)
     {
     }
@@ -121,19 +121,19 @@
     return found;
 }
 
-// A server whose machine stands still: it takes connections and reads nothing
-// before it is told to go on.
-class standing_server
+// A stalled server: its system accepts connections, but it reads nothing until
+// read_all().
+class stalled_server
 {
 public:
-    explicit standing_server(boost::asio::io_context& loop)
+    explicit stalled_server(boost::asio::io_context& loop)
         : acceptor(loop), socket(loop)
     {
-        // Most of a large request stays with the sender's system.
-        constexpr int little_room = 4096;
+        // Keeps most of a large request in the sender's system.
+        constexpr int small_buffer = 4096;
         this->acceptor.open(loopback.protocol());
         this->acceptor.set_option(
-            boost::asio::socket_base::receive_buffer_size(little_room));
+            boost::asio::socket_base::receive_buffer_size(small_buffer));
         this->acceptor.bind(loopback);
         this->acceptor.listen();
         this->acceptor.async_accept(
@@ -145,7 +145,7 @@
         return this->acceptor.local_endpoint();
     }
 
-    // What it reads when it goes on, and how the connection ended.
+    // Resumes the server: returns what it reads and how the connection ended.
     std::pair<std::string, boost::system::error_code> read_all()
     {
         std::string bytes;
@@ -160,19 +160,19 @@
     tcp::socket socket;
 };
 
-// Sends a request with such a body to a server that stands still, and closes
-// the connection once the system has taken all of it.
+// Sends a request with this body to a stalled server, closes the connection
+// once the system has accepted all of it, and resumes the server.
 std::pair<std::string, boost::system::error_code>
 read_after_close(std::string body)
 {
     boost::asio::io_context loop;
-    standing_server server(loop);
+    stalled_server server(loop);
     auto const connection =
         std::make_shared<client_connection>(loop, server.address());
-    seen found;
+    exchange_outcome found;
     connection->start(
         serialize(request{"POST", "/", {{"Host", "here"}}, std::move(body)}),
-        note_in(found));
+        record_into(found));
     loop.run_for(std::chrono::milliseconds(50));
     EXPECT_FALSE(found.result);
     connection->close();
@@ -209,8 +209,8 @@
     EXPECT_EQ(found.result->end, exchange_end::whole);
 }
 
-// An endpoint dies while it sends. The caller must not take what came for the
-// whole answer.
+// An endpoint dies while it sends. The part that was received must not be taken
+// for the complete response.
 TEST(exchange, a_response_that_ends_early_is_cut)
 {
     auto const found =
@@ -234,16 +234,16 @@
         address = free.local_endpoint();
     }
     auto const connection = std::make_shared<client_connection>(loop, address);
-    seen found;
-    connection->start(plain_request, note_in(found));
+    exchange_outcome found;
+    connection->start(plain_request, record_into(found));
     loop.run();
     ASSERT_TRUE(found.result);
     EXPECT_EQ(found.result->end, exchange_end::not_connected);
     EXPECT_FALSE(found.result->written);
 }
 
-// An endpoint sends a second answer after the first. Taken for the answer to
-// the next request, a caller gets another caller's bytes.
+// An endpoint sends a second response after the first. If it were taken for the
+// response to the next request, a caller would get another caller's data.
 TEST(exchange, bytes_beyond_the_response_end_the_connection)
 {
     boost::asio::io_context loop;
@@ -254,8 +254,8 @@
         false);
     auto const connection =
         std::make_shared<client_connection>(loop, server.address());
-    seen found;
-    connection->start(plain_request, note_in(found));
+    exchange_outcome found;
+    connection->start(plain_request, record_into(found));
     while (!found.result && loop.run_one() > 0)
     {
     }
@@ -264,18 +264,18 @@
     connection->close();
 }
 
-// A booking goes out on a kept connection in the moment in which the endpoint
-// ends its own direction of it, and still reads. The end is seen before the
-// writing is reported. Taken for "nothing was written", the booking is sent to
-// a second endpoint, and two vans go out.
+// A booking is sent on a kept-alive connection just as the endpoint shuts down
+// its sending direction; the endpoint still reads. The close is seen before the
+// write is reported. If the booking counted as not written, it would be sent to
+// a second endpoint and run twice.
 TEST(exchange, a_request_that_crosses_the_servers_end_counts_as_written)
 {
     boost::asio::io_context loop;
     tcp::acceptor acceptor(loop, loopback);
     auto const connection =
         std::make_shared<client_connection>(loop, acceptor.local_endpoint());
-    seen first;
-    connection->start(plain_request, note_in(first));
+    exchange_outcome first;
+    connection->start(plain_request, record_into(first));
     auto server = acceptor.accept();
     while (server.available() < plain_request.size())
     {
@@ -292,18 +292,19 @@
     }
     ASSERT_TRUE(connection->is_idle());
 
-    // Another socket becomes readable just before the end arrives, and what
-    // reads it sends the second request: both events are found together.
+    // Another socket becomes readable just before the close arrives, and its
+    // handler sends the second request, so that the loop finds both events
+    // together.
     tcp::socket trigger(loop);
     trigger.connect(acceptor.local_endpoint());
     auto other_end = acceptor.accept();
-    seen second;
+    exchange_outcome second;
     std::array<char, 1> block{};
     trigger.async_read_some(
         boost::asio::buffer(block),
         [&](boost::system::error_code, std::size_t)
         {
-            connection->start(plain_request, note_in(second));
+            connection->start(plain_request, record_into(second));
         });
     loop.poll();
     boost::asio::write(other_end, boost::asio::buffer("x", 1));
@@ -317,9 +318,9 @@
     EXPECT_TRUE(second.result->written);
 }
 
-// A connection takes its time to open. Time limits in the request that were
-// worked out before then end that much too late at the server, which begins
-// what its caller no longer wants.
+// Opening a connection takes time. Time limits in the request that were
+// computed before would end that much too late at the server, which would start
+// work that its caller no longer wants.
 TEST(exchange, a_request_is_made_when_the_connection_is_open)
 {
     boost::asio::io_context loop;
@@ -327,27 +328,27 @@
         loop, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", false);
     auto const connection =
         std::make_shared<client_connection>(loop, server.address());
-    seen found;
-    auto asked = 0;
+    exchange_outcome found;
+    auto source_calls = 0;
     connection->start(
         [&]() -> std::optional<std::string>
         {
-            ++asked;
+            ++source_calls;
             EXPECT_TRUE(connection->is_open());
             return plain_request;
         },
-        note_in(found));
-    EXPECT_EQ(asked, 0);
+        record_into(found));
+    EXPECT_EQ(source_calls, 0);
     while (!found.result && loop.run_one() > 0)
     {
     }
-    EXPECT_EQ(asked, 1);
+    EXPECT_EQ(source_calls, 1);
     EXPECT_EQ(found.body, "hi");
     connection->close();
 }
 
-// The time of a request is over when its connection has opened: nothing of it
-// is written, and the connection serves the next one.
+// A request has timed out by the time its connection is open: nothing of it is
+// written, and the connection serves the next request.
 TEST(exchange, a_request_that_is_withheld_leaves_the_connection_as_it_was)
 {
     boost::asio::io_context loop;
@@ -362,8 +363,8 @@
     // The first one while the connection opens, the second while it is open.
     for (auto times = 0; times < 2; ++times)
     {
-        seen withheld;
-        connection->start(nothing, note_in(withheld));
+        exchange_outcome withheld;
+        connection->start(nothing, record_into(withheld));
         EXPECT_FALSE(withheld.result);
         while (!withheld.result && loop.run_one() > 0)
         {
@@ -374,8 +375,8 @@
         ASSERT_TRUE(connection->is_idle());
         ASSERT_TRUE(connection->is_open());
     }
-    seen found;
-    connection->start(plain_request, note_in(found));
+    exchange_outcome found;
+    connection->start(plain_request, record_into(found));
     while (!found.result && loop.run_one() > 0)
     {
     }
@@ -383,9 +384,9 @@
     connection->close();
 }
 
-// A server closes a connection on which nothing came for a while. A withheld
-// request counted as use though no byte went out; the next request was sent on
-// a connection that the server was about to close, and was cut.
+// A server closes a connection that is idle for a while. If a withheld request
+// counted as use although no byte was sent, the next request would be sent on a
+// connection that the server is about to close, and would be cut off.
 TEST(exchange, a_request_that_is_withheld_does_not_make_its_connection_younger)
 {
     constexpr std::chrono::milliseconds quiet{100};
@@ -394,21 +395,21 @@
         loop, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", false);
     auto const connection =
         std::make_shared<client_connection>(loop, server.address());
-    seen first;
-    connection->start(plain_request, note_in(first));
+    exchange_outcome first;
+    connection->start(plain_request, record_into(first));
     while (!first.result && loop.run_one() > 0)
     {
     }
     ASSERT_TRUE(connection->is_idle());
     EXPECT_LT(connection->idle_time(), quiet);
     loop.run_for(quiet);
-    seen withheld;
+    exchange_outcome withheld;
     connection->start(
         []() -> std::optional<std::string>
         {
             return std::nullopt;
         },
-        note_in(withheld));
+        record_into(withheld));
     while (!withheld.result && loop.run_one() > 0)
     {
     }
@@ -417,16 +418,16 @@
     connection->close();
 }
 
-// Guards against a server that stood still running, at its return, what had
-// been given up meanwhile: it is to see that the request was broken off.
+// A stalled server must not execute requests that timed out meanwhile when it
+// resumes: it has to see that the request was aborted.
 TEST(exchange, a_request_that_is_given_up_ends_with_a_reset)
 {
     auto const [bytes, end] = read_after_close("x");
     EXPECT_EQ(end, boost::asio::error::connection_reset);
 }
 
-// Guards against the system delivering, after the end, what it held for such a
-// server.
+// The system must not deliver the buffered rest of such a request to the server
+// after the close.
 TEST(exchange, what_the_system_holds_of_a_request_that_is_given_up_is_dropped)
 {
     constexpr std::size_t size = 40000;
