--- a/libs/node/include/node/agent_node.hpp
+++ b/libs/node/include/node/agent_node.hpp
@@ -6,8 +6,8 @@
 namespace foxtailvale::node
 {
 
-// Runs an agent until it is told to stop by SIGTERM or SIGINT and its running
-// work is done. Returns the exit code.
+// Runs an agent until SIGTERM or SIGINT arrives and its running work is
+// finished; returns the exit code.
 int run_agent(release::agent_settings const& settings);
 
 } // namespace foxtailvale::node
--- a/libs/node/include/node/caller_server.hpp
+++ b/libs/node/include/node/caller_server.hpp
@@ -18,15 +18,16 @@
 
 class caller_session;
 
-// HTTP towards callers. Reads a request whole, hands it to the core as an
-// event and writes what the core answers.
+// HTTP server for callers. Reads each request completely, passes it to the core
+// as an event and writes what the core answers.
 class caller_server
 {
 public:
     using handler = std::function<void(entry_core::event)>;
-    // Body of /v1/models, made on the loop's thread from what is in force.
+    // Produces the body of /v1/models on the loop's thread, from the
+    // configuration in force.
     using model_list = std::function<std::string()>;
-    // Hears, on the loop's thread, of a request that was refused before the
+    // Called on the loop's thread for a request that was refused before the
     // core saw it, with the caller's IP.
     using fault_handler = std::function<void(base::error, std::string)>;
 
@@ -38,12 +39,12 @@
         model_list models);
     ~caller_server();
 
-    // Stops listening and waits until the answers under way are written to
-    // the last byte; false when the time is over first. Not from the loop's
-    // thread, which hands over the answers.
-    bool drain(std::chrono::milliseconds most);
+    // Stops listening and waits until the responses in progress are written to
+    // the last byte; returns false on timeout. Must not be called on the loop's
+    // thread, which delivers the responses.
+    bool drain(std::chrono::milliseconds max_wait);
 
-    // From the loop's thread: what the core answered.
+    // Passes the core's answer to the caller. Called on the loop's thread.
     void deliver(entry_core::reply reply);
     void deliver(entry_core::refuse refusal);
 
@@ -51,14 +52,14 @@
     void answer(
         Poco::Net::HTTPServerRequest& request,
         Poco::Net::HTTPServerResponse& response);
-    // Refuses a request that cannot be handed to the core.
+    // Refuses a request that cannot be passed to the core.
     void refuse(
         Poco::Net::HTTPServerResponse& response,
         base::error const& error,
         std::string const& caller);
     void answer_models(Poco::Net::HTTPServerResponse& response);
     void run_session(
-        entry_core::caller_request asked,
+        entry_core::caller_request incoming,
         Poco::Net::HTTPServerRequest& request,
         Poco::Net::HTTPServerResponse& response);
     template <class Item>
--- a/libs/node/include/node/endpoint_client.hpp
+++ b/libs/node/include/node/endpoint_client.hpp
@@ -16,19 +16,19 @@
 namespace foxtailvale::node
 {
 
-// Where the endpoint's and the weights' calls go.
+// Addresses that the client calls or passes to the engine.
 struct endpoint_addresses
 {
     std::string endpoint;
     std::string origin;
     // Where the engine fetches weights from this agent.
     std::string own_weights;
-    // Empty for an engine.
+    // Name of the service; empty for an engine.
     std::string service;
 };
 
-// Calls the endpoint beside the agent and the origin of weights, on threads of
-// its own, and hands what comes back to the loop as the core's events.
+// Calls the endpoint beside the agent and the origin of weights on threads of
+// its own, and posts the results to the loop as events of the core.
 class endpoint_client
 {
 public:
@@ -43,7 +43,8 @@
     void fetch(agent_core::fetch_manifest fetch);
     void fetch(agent_core::fetch_chunk fetch);
 
-    // Asks the endpoint how it is; the answer comes as an endpoint_report.
+    // Requests the state of the endpoint; the result arrives as an
+    // endpoint_report.
     void poll();
 
 private:
--- a/libs/node/include/node/entry_node.hpp
+++ b/libs/node/include/node/entry_node.hpp
@@ -6,8 +6,8 @@
 namespace foxtailvale::node
 {
 
-// Runs an entry until it is told to stop by SIGTERM or SIGINT and its running
-// work is done. Returns the exit code.
+// Runs an entry until SIGTERM or SIGINT arrives and its running work is
+// finished; returns the exit code.
 int run_entry(release::entry_settings const& settings);
 
 } // namespace foxtailvale::node
--- a/libs/node/include/node/event_loop.hpp
+++ b/libs/node/include/node/event_loop.hpp
@@ -16,8 +16,8 @@
 
 using task = std::function<void()>;
 
-// The one thread on which a process's core, its ZeroMQ sockets and its timers
-// live. Other threads hand work to it with post.
+// Runs a process's core, ZeroMQ sockets and timers on one thread. Other threads
+// pass work to it with post().
 class event_loop
 {
 public:
@@ -26,19 +26,19 @@
     event_loop(event_loop const&) = delete;
     event_loop& operator=(event_loop const&) = delete;
 
-    // Runs the task on the loop's thread, soon. Safe from any thread.
+    // Queues the task to run on the loop's thread. Safe from any thread.
     void post(task work);
 
-    // Runs the task again and again, for as long as the loop runs. Call
-    // before run.
+    // Runs the task at this interval while the loop runs. Call before run().
     void call_every(std::chrono::milliseconds interval, task work);
 
-    // Calls back whenever the socket has something to read; the callback must
-    // read all there is. Call before run.
+    // Calls back when the socket is readable; the callback must read all
+    // pending messages. Call before run().
     void watch(zmq::socket_ref socket, task on_readable);
 
     // Calls back on the loop's thread for SIGTERM and SIGINT. Call before any
-    // other thread is started, since it blocks the signals in this one.
+    // other thread is started, since it blocks the signals in the calling
+    // thread and threads started later inherit that.
     void on_stop_signal(task work);
 
     // Runs until stop is called.
--- a/libs/node/include/node/operator_server.hpp
+++ b/libs/node/include/node/operator_server.hpp
@@ -14,14 +14,16 @@
 namespace foxtailvale::node
 {
 
-// A page of the operator port: its content type and how its text is made.
+// A page of the operator port: its content type and the function that produces
+// its text.
 struct operator_page
 {
     std::string content_type;
     std::function<std::string()> text;
 };
 
-// The operator port: /metrics, /healthz, /readyz and pages of the role's own.
+// Serves the operator port: /metrics, /healthz, /readyz and pages that the
+// process adds.
 class operator_server
 {
 public:
@@ -30,8 +32,8 @@
         std::shared_ptr<kernel::metrics> metrics,
         std::map<std::string, operator_page> pages = {});
 
-    // Whether new work is welcome; goes off before the listener does, since
-    // the balancer lags.
+    // Sets whether new work is accepted, as /readyz reports it. Turned off
+    // before the listener closes, since the load balancer notices late.
     void set_ready(bool ready);
 
 private:
--- a/libs/node/include/node/peer_bus.hpp
+++ b/libs/node/include/node/peer_bus.hpp
@@ -18,23 +18,23 @@
 namespace foxtailvale::node
 {
 
-// Frames between the system's processes over ZeroMQ. Each process listens on
-// one socket and calls others from a second one; an answer goes back whichever
-// way is open. Lives on the loop's thread.
+// Exchanges frames between the system's processes over ZeroMQ. Each process
+// listens on one socket and connects to others from a second one; an answer
+// uses whichever connection is open. Used on the loop's thread only.
 class peer_bus
 {
 public:
     using handler = std::function<void(std::string, wire::Envelope)>;
     using fault_handler = std::function<void(base::error, std::string)>;
 
-    // Listens at the settings' peer address; throws std::runtime_error that
-    // names it when that fails. The loop must outlive the bus.
+    // Listens at the settings' peer address; throws std::runtime_error with the
+    // address on failure. The loop must outlive the bus.
     peer_bus(
         event_loop& loop,
         release::node_settings const& settings,
         std::uint64_t incarnation);
 
-    // Who gets the frames, and who hears of frames that were dropped.
+    // Set the callbacks for received frames and for frames that were dropped.
     void on_message(handler receive);
     void on_fault(fault_handler report);
 
@@ -42,16 +42,16 @@
     void connect(std::string const& peer, std::string const& address);
     void disconnect(std::string const& peer);
 
-    // Hands a frame to the transport; peer_unreachable means that it did not
-    // leave and never will.
+    // Hands a frame to the transport; peer_unreachable means that the frame was
+    // not sent and never will be.
     base::result<void> send(std::string const& peer, wire::Envelope envelope);
 
-    // Bytes of frames since the last call.
+    // Returns the bytes of frames sent and received since the last call.
     traffic take_traffic();
 
-    // From now on the end of the bus waits a moment for frames that are on
-    // their way. Failure: an agent ends right after its last answer; dropped in
-    // the transport's queue, that answer would be lost to its caller.
+    // Makes the bus wait briefly for queued frames when it closes. An agent
+    // exits right after its last answer, which would otherwise be dropped in
+    // the transport's queue and never reach its caller.
     void flush_on_close();
 
 private:
@@ -71,7 +71,7 @@
     fault_handler reporter;
     // Address in use, by peer.
     std::map<std::string, std::string> connected;
-    // Incarnation last heard, by peer.
+    // Incarnation last received, by peer.
     std::map<std::string, std::uint64_t> incarnations;
 };
 
--- a/libs/node/include/node/platform_client.hpp
+++ b/libs/node/include/node/platform_client.hpp
@@ -15,14 +15,15 @@
 namespace foxtailvale::node
 {
 
-// Makes one call to the platform's object API and waits for its answer.
-// A waiting watch ends when the control cancels it.
+// Makes one blocking call to the platform's object API. Cancelling the control
+// ends a watch that is waiting.
 core::platform_answer call_platform(
     std::string const& base,
     core::platform_call const& call,
     std::shared_ptr<http::call_control> control = nullptr);
 
-// Calls the platform on threads of its own and answers on the loop.
+// Calls the platform on threads of its own and delivers the answers on the
+// loop.
 class platform_client
 {
 public:
@@ -30,8 +31,8 @@
 
     platform_client(event_loop& loop, std::string base, handler answer);
 
-    // Does not wait for the end of a watch: an entry that was told to stop
-    // would hold its VM for as long.
+    // Cancels running calls. Waiting for a watch to end would hold the VM of a
+    // stopped entry for as long.
     ~platform_client();
     platform_client(platform_client const&) = delete;
     platform_client& operator=(platform_client const&) = delete;
@@ -39,8 +40,8 @@
     void call(core::platform_call call);
 
 private:
-    std::shared_ptr<http::call_control> begin();
-    void end(std::shared_ptr<http::call_control> const& control);
+    std::shared_ptr<http::call_control> start_call();
+    void finish_call(std::shared_ptr<http::call_control> const& control);
 
     event_loop& loop;
     std::string base;
--- a/libs/node/include/node/traffic.hpp
+++ b/libs/node/include/node/traffic.hpp
@@ -11,8 +11,8 @@
 namespace foxtailvale::node
 {
 
-// What a frame between our processes is for. Only control has a budget of its
-// own per node; the others grow with the callers' load.
+// Purpose of a frame between the system's processes. Only control traffic has a
+// budget of its own per node; the other kinds grow with the load from callers.
 enum class traffic_kind
 {
     control,
@@ -26,8 +26,8 @@
 
 traffic_kind kind_of(wire::Envelope::BodyCase body);
 
-// Bytes of frames that were sent and received, by kind. The transport's own
-// headers and keep-alives are not in them.
+// Bytes of frames sent and received, by kind, without the transport's own
+// headers and keep-alives.
 struct traffic
 {
     std::array<std::uint64_t, traffic_kinds> sent{};
--- a/libs/node/include/node/weights_server.hpp
+++ b/libs/node/include/node/weights_server.hpp
@@ -13,18 +13,18 @@
 namespace foxtailvale::node
 {
 
-// Serves whole versions to the engine beside the agent over HTTP. Keeps its
-// own references to the chunks, so that a load goes on undisturbed while the
-// core moves on.
+// Serves complete versions to the engine beside the agent over HTTP. Holds its
+// own references to the chunks, so that a load continues undisturbed when the
+// core drops or replaces versions.
 class weights_server
 {
 public:
     explicit weights_server(http::server_options const& options);
 
-    // Offers a whole version; replaces none.
+    // Adds a complete version; an existing one with the same digest stays.
     void offer(std::string const& digest, weights::stored_version version);
 
-    // Offers no other versions than these.
+    // Removes all versions but these.
     void keep_only(std::vector<std::string> const& digests);
 
 private:
--- a/libs/node/include/node/worker_pool.hpp
+++ b/libs/node/include/node/worker_pool.hpp
@@ -12,13 +12,13 @@
 namespace foxtailvale::node
 {
 
-// Threads for calls that block. Started as they are needed, up to the most;
-// work waits in order when all are busy.
+// Threads for blocking calls, started on demand up to the maximum. Work is
+// queued in order when all are busy.
 class worker_pool
 {
 public:
     explicit worker_pool(std::size_t max_threads);
-    // Waits for running work; work that has not begun is dropped.
+    // Waits for running work; queued work is dropped.
     ~worker_pool();
     worker_pool(worker_pool const&) = delete;
     worker_pool& operator=(worker_pool const&) = delete;
--- a/libs/node/src/agent_node.cpp
+++ b/libs/node/src/agent_node.cpp
@@ -21,8 +21,8 @@
 constexpr std::uint16_t server_threads = 4;
 constexpr double bytes_per_second_in_mbit = 1'000'000.0 / 8;
 
-// How fast weights may move, as set.
-void set_pace(
+// Applies the settings for the distribution of weights and its rates.
+void apply_distribution_settings(
     agent_core::weights_state& weights, release::agent_settings const& settings)
 {
     using agent_core::distribution;
@@ -36,7 +36,7 @@
         settings.origin_link_mbit * bytes_per_second_in_mbit * share;
 }
 
-// The agent's core between its adapters. All of it lives on the loop's thread.
+// Connects the agent's core to its adapters. Used on the loop's thread only.
 class agent_driver
 {
 public:
@@ -60,7 +60,7 @@
         this->core.self.drain_limits.grace = settings.node.stop_grace;
         this->core.random.value = base::entropy_seed();
         this->core.weights.store.capacity_bytes = settings.spool_bytes;
-        set_pace(this->core.weights, settings);
+        apply_distribution_settings(this->core.weights, settings);
     }
 
     void attach(
--- a/libs/node/src/caller_request_reader.cpp
+++ b/libs/node/src/caller_request_reader.cpp
@@ -20,7 +20,8 @@
 constexpr std::string_view chat_path = "/v1/chat/completions";
 constexpr std::string_view services_prefix = "/services/";
 
-// Bytes of a prompt that decide which endpoint is likely to have it cached.
+// Length in bytes of the prompt prefix whose hash selects an endpoint that is
+// likely to have it cached.
 constexpr std::size_t prefix_bytes = 256;
 
 constexpr std::uint32_t highest_priority = 9;
@@ -62,9 +63,9 @@
                 error_kind::malformed_request,
                 "X-Deadline-Ms must be a whole number above zero");
         }
-        auto const longest =
+        auto const max_deadline_ms =
             static_cast<std::uint64_t>(settings.longest_deadline.count());
-        request.time_left = milliseconds(std::min(*value, longest));
+        request.time_left = milliseconds(std::min(*value, max_deadline_ms));
     }
     auto const priority = header(raw, "x-priority");
     if (!priority.empty())
@@ -120,9 +121,9 @@
 void read_service(raw_request const& raw, entry_core::caller_request& request)
 {
     auto const rest = raw.path.substr(services_prefix.size());
-    auto const cut = std::min(rest.find('/'), rest.find('?'));
-    request.service = rest.substr(0, cut);
-    request.path = cut == std::string::npos ? "/" : rest.substr(cut);
+    auto const name_end = std::min(rest.find('/'), rest.find('?'));
+    request.service = rest.substr(0, name_end);
+    request.path = name_end == std::string::npos ? "/" : rest.substr(name_end);
     if (request.path.front() == '?')
     {
         request.path.insert(0, "/");
--- a/libs/node/src/caller_request_reader.hpp
+++ b/libs/node/src/caller_request_reader.hpp
@@ -11,7 +11,7 @@
 namespace foxtailvale::node
 {
 
-// A request as it came over HTTP, apart from the library that read it.
+// A received HTTP request, independent of the HTTP library.
 struct raw_request
 {
     std::string method;
@@ -22,7 +22,8 @@
     std::string body;
 };
 
-// Makes the core's event of an HTTP request; a 4xx error names the fault.
+// Converts an HTTP request to the core's event; returns a 4xx error that names
+// the fault.
 base::result<entry_core::caller_request>
 read_caller_request(raw_request raw, release::entry_settings const& settings);
 
--- a/libs/node/src/caller_server.cpp
+++ b/libs/node/src/caller_server.cpp
@@ -18,14 +18,15 @@
 namespace
 {
 
-// How often a waiting answer's caller is looked at for having gone.
-constexpr std::chrono::milliseconds gone_interval{250};
+// Interval at which a caller that waits for a response is checked for a
+// disconnect.
+constexpr std::chrono::milliseconds disconnect_check_interval{250};
 
-// Pieces and bytes that wait for a slow reader. A fast engine is some seconds
-// ahead then; past it the stream ends, since what is kept for one caller is
-// taken from all.
-constexpr std::size_t most_waiting_items = 1024;
-constexpr std::size_t most_waiting_bytes = 1024UL * 1024;
+// Limits of the parts and bytes queued for a caller that reads slowly. A fast
+// engine is some seconds ahead at these limits; beyond them the stream is
+// ended, since memory used for one caller is taken from all others.
+constexpr std::size_t max_queued_items = 1024;
+constexpr std::size_t max_queued_bytes = 1024UL * 1024;
 
 constexpr char const* problem_type = "application/problem+json";
 
@@ -101,51 +102,53 @@
 
 using session_item = std::variant<entry_core::reply, entry_core::refuse>;
 
-// Carries the core's answers to the thread that writes to the caller. Shared
-// by both sides, so that either may end first.
+// Queues the core's answers for the thread that writes to the caller. Shared by
+// both sides, so that either may end first.
 class caller_session
 {
 public:
-    // False when the caller reads too slowly: nothing more is taken, and the
-    // writer is told to break off.
+    // Returns false when the caller reads too slowly: nothing more is accepted,
+    // and the writer is told to abort.
     bool push(session_item item)
     {
-        auto taken = false;
+        auto accepted = false;
         {
             std::lock_guard const lock(this->mutex);
-            // A whole answer of any size is one item.
-            taken =
-                !this->broken && (this->items.empty() ||
-                                  (this->items.size() < most_waiting_items &&
-                                   this->bytes < most_waiting_bytes));
-            if (taken)
+            // A complete answer of any size is one item.
+            accepted =
+                !this->overflowed && (this->items.empty() ||
+                                      (this->items.size() < max_queued_items &&
+                                       this->bytes < max_queued_bytes));
+            if (accepted)
             {
                 this->bytes += size_of(item);
                 this->items.push_back(std::move(item));
             }
             else
             {
-                this->broken = true;
+                this->overflowed = true;
             }
         }
         this->ready.notify_one();
-        return taken;
+        return accepted;
     }
 
-    // The next item; nothing when the caller has gone or reads too slowly.
-    template <class Gone>
-    std::optional<session_item> wait(Gone has_gone)
+    // Waits for the next item; returns nothing when the caller has disconnected
+    // or reads too slowly.
+    template <class DisconnectCheck>
+    std::optional<session_item> wait(DisconnectCheck has_disconnected)
     {
         std::unique_lock lock(this->mutex);
-        while (this->items.empty() && !this->broken)
+        while (this->items.empty() && !this->overflowed)
         {
-            auto const woken = this->ready.wait_for(lock, gone_interval);
-            if (woken == std::cv_status::timeout && has_gone())
+            auto const woken =
+                this->ready.wait_for(lock, disconnect_check_interval);
+            if (woken == std::cv_status::timeout && has_disconnected())
             {
                 return std::nullopt;
             }
         }
-        if (this->broken)
+        if (this->overflowed)
         {
             return std::nullopt;
         }
@@ -166,27 +169,27 @@
     std::condition_variable ready;
     std::deque<session_item> items;
     std::size_t bytes = 0;
-    bool broken = false;
+    bool overflowed = false;
 };
 
 namespace
 {
 
-// Writes a session's items to the caller until the last; false when the
-// caller has gone.
+// Writes a session's items to the caller up to the last one; returns false when
+// the caller has disconnected or reads too slowly.
 bool write_answer(
     caller_session& session,
     Poco::Net::HTTPServerRequest& request,
     Poco::Net::HTTPServerResponse& response)
 {
-    auto const has_gone = [&request]
+    auto const has_disconnected = [&request]
     {
         return http::is_closed_by_peer(request);
     };
     std::ostream* body = nullptr;
     while (true)
     {
-        auto const item = session.wait(has_gone);
+        auto const item = session.wait(has_disconnected);
         if (!item)
         {
             return false;
@@ -261,15 +264,15 @@
         });
 }
 
-// The listener's threads use the other members.
+// Stops the listener first, since its threads use the other members.
 caller_server::~caller_server()
 {
     this->listener.reset();
 }
 
-bool caller_server::drain(std::chrono::milliseconds most)
+bool caller_server::drain(std::chrono::milliseconds max_wait)
 {
-    return this->listener->drain(most);
+    return this->listener->drain(max_wait);
 }
 
 void caller_server::refuse(
@@ -277,7 +280,8 @@
     base::error const& error,
     std::string const& caller)
 {
-    // Counted before it is answered: who reads the answer finds it counted.
+    // Counted before the response is sent, so that a caller that has read the
+    // response finds it counted.
     this->loop.post(
         [this, error, caller]
         {
@@ -330,7 +334,7 @@
 }
 
 void caller_server::run_session(
-    entry_core::caller_request asked,
+    entry_core::caller_request incoming,
     Poco::Net::HTTPServerRequest& request,
     Poco::Net::HTTPServerResponse& response)
 {
@@ -341,11 +345,11 @@
         caller = ++this->last_caller;
         this->sessions.emplace(caller, session);
     }
-    asked.caller = caller;
+    incoming.caller = caller;
     this->loop.post(
-        [this, asked = std::move(asked)]
+        [this, incoming = std::move(incoming)]
         {
-            this->receiver(asked);
+            this->receiver(incoming);
         });
     auto finished = false;
     try
--- a/libs/node/src/common_actions.cpp
+++ b/libs/node/src/common_actions.cpp
@@ -8,8 +8,9 @@
 
 constexpr std::chrono::minutes fault_log_interval{1};
 
-// Names come from frames, so a stranger could invent many.
-constexpr std::size_t most_logged_peers = 1024;
+// Bounds the memory: peer names come from frames, and a stranger could invent
+// many.
+constexpr std::size_t max_logged_peers = 1024;
 
 constexpr char const* sent_name = "foxtailvale_peer_sent_bytes_total";
 constexpr char const* received_name = "foxtailvale_peer_received_bytes_total";
@@ -33,7 +34,8 @@
     {
         return;
     }
-    // Posted rather than called: the core is still in the middle of a step.
+    // Posted rather than called, since the core is still in the middle of a
+    // step.
     this->loop.post(
         [this,
          failed = core::send_failed{action.peer, std::move(action.envelope)}]()
@@ -98,7 +100,7 @@
     {
         return;
     }
-    if (this->logged.size() >= most_logged_peers)
+    if (this->logged.size() >= max_logged_peers)
     {
         this->logged.clear();
     }
--- a/libs/node/src/common_actions.hpp
+++ b/libs/node/src/common_actions.hpp
@@ -14,7 +14,7 @@
 namespace foxtailvale::node
 {
 
-// Carries out the actions that both roles' cores ask for.
+// Carries out the actions that the cores of entries and agents have in common.
 class common_actions
 {
 public:
@@ -37,7 +37,8 @@
     // Adds the bytes sent and received since the last call to the metrics.
     void publish_traffic();
 
-    // Reports a frame that the bus dropped.
+    // Counts and logs a dropped frame or a refused request; logs at most once a
+    // minute for each peer.
     void report_fault(base::error const& error, std::string const& peer);
 
 private:
@@ -45,7 +46,7 @@
     std::shared_ptr<peer_bus> bus;
     std::shared_ptr<kernel::metrics> metrics;
     failure_handler on_failure;
-    // When a peer's bad frames were last logged; once a minute is enough.
+    // Time of the last log line about bad frames, by peer.
     std::map<std::string, base::time_point> logged;
 };
 
--- a/libs/node/src/endpoint_client.cpp
+++ b/libs/node/src/endpoint_client.cpp
@@ -13,15 +13,15 @@
 
 using std::chrono::milliseconds;
 
-// Running attempts are bounded by the gate; this only bounds threads.
-constexpr std::size_t most_work_threads = 256;
-constexpr std::size_t most_transfer_threads = 8;
+// The gate bounds the running attempts; this only bounds threads.
+constexpr std::size_t max_work_threads = 256;
+constexpr std::size_t max_transfer_threads = 8;
 
 constexpr milliseconds order_timeout{10'000};
 constexpr milliseconds poll_timeout{1000};
 constexpr milliseconds origin_timeout{5000};
 
-// The end of an engine's stream; without it the stream was cut.
+// Marks the end of an engine's stream; a stream without it was cut off.
 constexpr std::string_view stream_end = "data: [DONE]";
 
 http::request make_request(std::string const& endpoint, wire::Run const& run)
@@ -87,8 +87,8 @@
 endpoint_client::endpoint_client(
     event_loop& owner, endpoint_addresses where, handler receive)
     : loop(owner), addresses(std::move(where)), receiver(std::move(receive)),
-      kept(http::make_kept_connections()), work_pool(most_work_threads),
-      transfer_pool(most_transfer_threads), poll_pool(1)
+      kept(http::make_kept_connections()), work_pool(max_work_threads),
+      transfer_pool(max_transfer_threads), poll_pool(1)
 {
 }
 
--- a/libs/node/src/entry_node.cpp
+++ b/libs/node/src/entry_node.cpp
@@ -20,12 +20,12 @@
 
 constexpr std::chrono::milliseconds tick_interval{20};
 constexpr std::chrono::milliseconds traffic_interval{500};
-// For how long a stopping entry waits for callers that read slowly.
-constexpr std::chrono::milliseconds last_answers_limit{30'000};
+// How long a stopping entry waits for callers that read slowly.
+constexpr std::chrono::milliseconds drain_timeout{30'000};
 constexpr std::uint16_t operator_threads = 4;
-constexpr int most_arenas = 4;
+constexpr int max_arenas = 4;
 
-// The entry's core between its adapters. All of it lives on the loop's thread.
+// Connects the entry's core to its adapters. Used on the loop's thread only.
 class entry_driver
 {
 public:
@@ -110,15 +110,15 @@
 
     void operator()(core::stop_finished& /*action*/)
     {
-        if (this->closing)
+        if (this->draining)
         {
             return;
         }
-        this->closing = true;
-        this->closer.run(
+        this->draining = true;
+        this->drain_worker.run(
             [this, server = this->callers]
             {
-                server->drain(last_answers_limit);
+                server->drain(drain_timeout);
                 this->loop.stop();
             });
     }
@@ -145,18 +145,19 @@
     std::shared_ptr<platform_client> platform;
     std::shared_ptr<caller_server> callers;
     std::shared_ptr<operator_server> operator_port;
-    // Waits for the last bytes to callers, which the loop must not do.
-    bool closing = false;
-    worker_pool closer{1};
+    // Waits until the last bytes to callers are written, which would block the
+    // loop.
+    bool draining = false;
+    worker_pool drain_worker{1};
 };
 
 } // namespace
 
 int run_entry(release::entry_settings const& settings)
 {
-    // Each caller's thread would take an arena of its own otherwise, and what
-    // one frees the others could not use.
-    mallopt(M_ARENA_MAX, most_arenas);
+    // Without this limit each caller's thread would use a malloc arena of its
+    // own, and memory freed in one would not be available to the others.
+    mallopt(M_ARENA_MAX, max_arenas);
     auto const& node = settings.node;
     event_loop loop;
     std::shared_ptr<entry_driver> driver;
--- a/libs/node/src/event_loop.cpp
+++ b/libs/node/src/event_loop.cpp
@@ -16,7 +16,7 @@
 namespace
 {
 
-constexpr std::chrono::milliseconds longest_sleep{100};
+constexpr std::chrono::milliseconds max_sleep{100};
 
 [[noreturn]] void throw_errno(char const* what)
 {
@@ -49,7 +49,8 @@
         this->posted.push_back(std::move(work));
     }
     std::uint64_t const one = 1;
-    // A full counter wakes the loop just as well.
+    // A write fails only when the counter is full, which wakes the loop just as
+    // well.
     [[maybe_unused]] auto const written =
         write(this->wake_fd, &one, sizeof one);
 }
@@ -99,13 +100,13 @@
 std::chrono::milliseconds event_loop::run_timers()
 {
     auto const now = std::chrono::steady_clock::now();
-    auto sleep = longest_sleep;
+    auto sleep = max_sleep;
     for (auto& entry : this->timers)
     {
         if (entry.due <= now)
         {
-            // Not due + interval: after a pause of the process one call is
-            // wanted and not one for each that was missed.
+            // Counted from now instead of the due time: after a pause of the
+            // process the task runs once, not once for each missed interval.
             entry.due = now + entry.interval;
             entry.work();
         }
--- a/libs/node/src/peer_bus.cpp
+++ b/libs/node/src/peer_bus.cpp
@@ -9,48 +9,50 @@
 namespace
 {
 
-// Largest frame: the largest chunk with room for its envelope, in bytes.
-constexpr std::int64_t largest_frame = 80LL * 1024 * 1024;
+// Largest accepted frame in bytes: the largest chunk with room for its
+// envelope.
+constexpr std::int64_t max_frame_bytes = 80LL * 1024 * 1024;
 
-// ZeroMQ's own heartbeats find dead connections that carry nothing, in
-// milliseconds. Made for an entry with 300 connections: at one a second they
-// alone would cost more bytes than all control may. Connections in use are
-// found dead sooner, by what stays unacknowledged.
-constexpr int heartbeat_interval = 15'000;
-constexpr int heartbeat_timeout = 30'000;
+// ZeroMQ's heartbeats detect dead connections that carry no traffic, in
+// milliseconds. Sized for an entry with 300 connections: at one heartbeat a
+// second, they alone would exceed the byte budget of all control traffic. Dead
+// connections in use are detected sooner, by unacknowledged bytes.
+constexpr int heartbeat_interval_ms = 15'000;
+constexpr int heartbeat_timeout_ms = 30'000;
 
-// Failure: a cut swallows frames; when it heals, TCP waits for its next
-// retransmission, by then many seconds away, and peers seem cut off for that
-// long. A connection with bytes unacknowledged for this long is closed, and a
-// connection attempt given up, so that a fresh one is made within a second of
-// the cut's end. In milliseconds.
-constexpr int unacknowledged_limit = 3000;
-constexpr int connect_limit = 1000;
+// A network partition loses frames. When it heals, TCP waits for its next
+// retransmission, by then many seconds away, and peers seem unreachable for
+// that long. A connection with bytes unacknowledged for the first time limit is
+// therefore closed, and a connection attempt abandoned after the second, so
+// that a new one is made within a second of the end of the partition. In
+// milliseconds.
+constexpr int unacknowledged_timeout_ms = 3000;
+constexpr int connect_timeout_ms = 1000;
 
-// Frames queued for one peer at most. The protocols above bound what is under
-// way per peer well below it; past it a send fails rather than waits.
-constexpr int queue_length = 10'000;
+// Limit of the frames queued for one peer. The protocols above keep what is in
+// flight per peer well below it; beyond it a send fails rather than waits.
+constexpr int max_queued_frames = 10'000;
 
-// How long the end of a process may wait for its last frames.
-constexpr int flush_milliseconds = 1000;
+// How long the exit of a process may wait for its last frames.
+constexpr int flush_timeout_ms = 1000;
 
 void configure(zmq::socket_t& socket, std::string const& name)
 {
     socket.set(zmq::sockopt::routing_id, name);
     socket.set(zmq::sockopt::router_mandatory, true);
-    // A restarted process takes over its name's connection.
+    // A restarted process takes over the connection of its name.
     socket.set(zmq::sockopt::router_handover, true);
     socket.set(zmq::sockopt::linger, 0);
-    socket.set(zmq::sockopt::maxmsgsize, largest_frame);
-    socket.set(zmq::sockopt::heartbeat_ivl, heartbeat_interval);
-    socket.set(zmq::sockopt::heartbeat_timeout, heartbeat_timeout);
-    socket.set(zmq::sockopt::tcp_maxrt, unacknowledged_limit);
-    socket.set(zmq::sockopt::connect_timeout, connect_limit);
-    socket.set(zmq::sockopt::sndhwm, queue_length);
-    socket.set(zmq::sockopt::rcvhwm, queue_length);
-    // Failure: a frame queued for a peer that is gone goes out after the
-    // reconnect, when its request was long given up. With this option frames
-    // are queued for finished connections only, and dropped with them.
+    socket.set(zmq::sockopt::maxmsgsize, max_frame_bytes);
+    socket.set(zmq::sockopt::heartbeat_ivl, heartbeat_interval_ms);
+    socket.set(zmq::sockopt::heartbeat_timeout, heartbeat_timeout_ms);
+    socket.set(zmq::sockopt::tcp_maxrt, unacknowledged_timeout_ms);
+    socket.set(zmq::sockopt::connect_timeout, connect_timeout_ms);
+    socket.set(zmq::sockopt::sndhwm, max_queued_frames);
+    socket.set(zmq::sockopt::rcvhwm, max_queued_frames);
+    // Queues frames for established connections only and drops them with the
+    // connection. Otherwise, a frame queued for a peer that is gone would be
+    // sent after the reconnect, long after its request timed out.
     socket.set(zmq::sockopt::immediate, true);
 }
 
@@ -90,9 +92,9 @@
 peer_bus::peer_bus(
     event_loop& loop,
     release::node_settings const& settings,
-    std::uint64_t life)
-    : name(settings.name), own_address(settings.address), incarnation(life),
-      rewrites(settings.rewrites), context(1),
+    std::uint64_t own_incarnation)
+    : name(settings.name), own_address(settings.address),
+      incarnation(own_incarnation), rewrites(settings.rewrites), context(1),
       inbound(this->context, zmq::socket_type::router),
       outbound(this->context, zmq::socket_type::router)
 {
@@ -139,8 +141,8 @@
 
 void peer_bus::connect(std::string const& peer, std::string const& address)
 {
-    // Leaves from the own address also where a machine has several, so that
-    // peers and links can tell whose traffic it is.
+    // Connects from the configured address also where a machine has several, so
+    // that peers and links can tell whose traffic it is.
     auto const target =
         "tcp://" + this->own_address + ":0;" + this->rewritten(address);
     auto const known = this->connected.find(peer);
@@ -197,8 +199,8 @@
 
 void peer_bus::flush_on_close()
 {
-    this->inbound.set(zmq::sockopt::linger, flush_milliseconds);
-    this->outbound.set(zmq::sockopt::linger, flush_milliseconds);
+    this->inbound.set(zmq::sockopt::linger, flush_timeout_ms);
+    this->outbound.set(zmq::sockopt::linger, flush_timeout_ms);
 }
 
 void peer_bus::receive_all(zmq::socket_t& socket)
@@ -242,17 +244,21 @@
     }
     auto const kind = static_cast<std::size_t>(kind_of(envelope.body_case()));
     this->counted.received[kind] += frame.size();
-    // Failure: a frame meant for this process's earlier life arrives late. A
-    // request in it may have been given up as not run. Its incarnation is not
-    // ours, so it is dropped.
+    // A frame addressed to an earlier incarnation of this process arrives late.
+    // A request in it may have been abandoned as not run, so it must not be
+    // executed: the frame is dropped.
     if (envelope.to_incarnation() != 0 &&
         envelope.to_incarnation() != this->incarnation)
     {
         this->incarnations[peer] = envelope.from_incarnation();
-        this->reporter({base::error_kind::bad_frame, "earlier life"}, peer);
-        // Failure: a process restarts under its name and says nothing of its
-        // own accord, so its peers go on addressing its earlier life and it
-        // drops every frame for ever. An envelope without a body tells them.
+        this->reporter(
+            {base::error_kind::bad_frame,
+             "addressed to an earlier incarnation"},
+            peer);
+        // A process that restarts under its name may send nothing on its own:
+        // its peers would keep addressing the earlier incarnation, and it would
+        // drop every frame for ever. An envelope without a body tells them the
+        // new one.
         static_cast<void>(this->send(peer, {}));
         return;
     }
--- a/libs/node/src/platform_client.cpp
+++ b/libs/node/src/platform_client.cpp
@@ -10,10 +10,10 @@
 namespace
 {
 
-// Calls under way at once: a waiting watch holds one, and the others must not
-// wait behind it. A claim takes some milliseconds, so this bears several
+// Limit of concurrent calls: a waiting watch holds one, and the others must not
+// wait behind it. A claim takes some milliseconds, so this can handle several
 // thousand of them a second, more than the platform does.
-constexpr std::size_t most_calls = 16;
+constexpr std::size_t max_calls = 16;
 
 constexpr std::chrono::milliseconds watch_grace{1000};
 
@@ -111,7 +111,7 @@
 platform_client::platform_client(
     event_loop& owner, std::string address, handler answer)
     : loop(owner), base(std::move(address)), receiver(std::move(answer)),
-      pool(most_calls)
+      pool(max_calls)
 {
 }
 
@@ -125,7 +125,7 @@
     }
 }
 
-std::shared_ptr<http::call_control> platform_client::begin()
+std::shared_ptr<http::call_control> platform_client::start_call()
 {
     auto control = std::make_shared<http::call_control>();
     std::lock_guard const lock(this->mutex);
@@ -137,7 +137,8 @@
     return control;
 }
 
-void platform_client::end(std::shared_ptr<http::call_control> const& control)
+void platform_client::finish_call(
+    std::shared_ptr<http::call_control> const& control)
 {
     std::lock_guard const lock(this->mutex);
     this->active.erase(control);
@@ -148,9 +149,9 @@
     this->pool.run(
         [this, call = std::move(call)]
         {
-            auto const control = this->begin();
+            auto const control = this->start_call();
             auto answer = call_platform(this->base, call, control);
-            this->end(control);
+            this->finish_call(control);
             this->loop.post(
                 [this, answer = std::move(answer)]() mutable
                 {
--- a/libs/node/src/traffic.cpp
+++ b/libs/node/src/traffic.cpp
@@ -19,7 +19,7 @@
 
 traffic_kind kind_of(wire::Envelope::BodyCase body)
 {
-    // The numbers of the messages are grouped in proto/foxtailvale.proto.
+    // The message numbers are grouped by kind in proto/foxtailvale.proto.
     constexpr int first_request = 20;
     constexpr int first_weights = 40;
     constexpr int first_more_control = 60;
--- a/libs/node/src/weights_server.cpp
+++ b/libs/node/src/weights_server.cpp
@@ -13,7 +13,8 @@
 constexpr std::string_view chunks_part = "/chunks/";
 constexpr std::string_view manifest_part = "/manifest";
 
-// Reads the number after "/chunks/"; past the end when there is none.
+// Reads the number after "/chunks/"; returns an index past the end when there
+// is none.
 std::size_t chunk_index(std::string_view path)
 {
     auto const digits = path.substr(path.rfind('/') + 1);
--- a/libs/node/src/worker_pool.cpp
+++ b/libs/node/src/worker_pool.cpp
@@ -3,7 +3,7 @@
 namespace foxtailvale::node
 {
 
-worker_pool::worker_pool(std::size_t most) : max_threads(most)
+worker_pool::worker_pool(std::size_t limit) : max_threads(limit)
 {
 }
 
--- a/libs/node/tests/caller_server_tests.cpp
+++ b/libs/node/tests/caller_server_tests.cpp
@@ -21,21 +21,21 @@
 using nlohmann::json;
 
 constexpr std::uint16_t port = 46110;
-constexpr std::size_t most_body = 4096;
+constexpr std::size_t max_body = 4096;
 
 release::entry_settings settings()
 {
     release::entry_settings made;
     made.node.address = testing::own_address();
     made.caller_port = port;
-    made.most_body_bytes = most_body;
+    made.most_body_bytes = max_body;
     made.default_deadline = std::chrono::milliseconds(5000);
     made.longest_deadline = std::chrono::milliseconds(5000);
     return made;
 }
 
-// A caller server with its loop. A request for the service "slow" is held
-// after its first piece; any other is answered at once.
+// A caller server with its loop. The response to a request for the service
+// "slow" is held after its first part; any other request is answered at once.
 class served : public ::testing::Test
 {
 protected:
@@ -45,7 +45,7 @@
               settings(),
               [this](entry_core::event event)
               {
-                  this->take(event);
+                  this->handle_event(event);
               },
               [this](base::error const& error, std::string const& caller)
               {
@@ -69,7 +69,7 @@
         this->stop();
     }
 
-    // After this the test may read what the loop's thread wrote.
+    // Ends the loop. After this the test may read what the loop's thread wrote.
     void stop()
     {
         if (this->runner.joinable())
@@ -79,7 +79,7 @@
         }
     }
 
-    void take(entry_core::event const& event)
+    void handle_event(entry_core::event const& event)
     {
         auto const* const request =
             std::get_if<entry_core::caller_request>(&event);
@@ -107,7 +107,7 @@
         this->server.deliver(std::move(piece));
     }
 
-    http::request ask(std::string path, std::string body) const
+    http::request make_request(std::string path, std::string body) const
     {
         http::request made;
         made.base =
@@ -120,7 +120,7 @@
         return made;
     }
 
-    // Sends bytes as they are and reads until the server closes.
+    // Sends raw bytes and reads until the server closes the connection.
     std::string exchange(std::string const& bytes) const
     {
         Poco::Net::StreamSocket socket(
@@ -158,7 +158,7 @@
     }
 
     event_loop loop;
-    // The caller whose answer was begun and not ended.
+    // The caller whose response was started and not finished.
     std::atomic<entry_core::caller_handle> held{0};
     std::vector<base::error_kind> faults;
     caller_server server;
@@ -169,28 +169,31 @@
 
 } // namespace
 
-// A caller's program is wrong: the body is no JSON, lacks a field, is too
-// large, or goes to a path that is none. Each is told which of these it was and
-// that nothing ran; each is counted, and the next good request is served.
+// A caller sends a faulty request: the body is not JSON, lacks a field or is
+// too large, or the path is unknown. Each refusal tells which of these it was
+// and that nothing ran; each is counted, and the next valid request is served.
 TEST_F(served, faults_before_the_core_are_named_and_counted)
 {
     using base::error_kind;
-    this->expect_refused(this->ask(chat_path, "{"), "malformed_request");
-    this->expect_refused(this->ask(chat_path, "[]"), "malformed_request");
     this->expect_refused(
-        this->ask(chat_path, R"({"model": 3, "messages": []})"),
+        this->make_request(chat_path, "{"), "malformed_request");
+    this->expect_refused(
+        this->make_request(chat_path, "[]"), "malformed_request");
+    this->expect_refused(
+        this->make_request(chat_path, R"({"model": 3, "messages": []})"),
         "malformed_request");
     this->expect_refused(
-        this->ask(chat_path, R"({"model": "a", "messages": "b"})"),
+        this->make_request(chat_path, R"({"model": "a", "messages": "b"})"),
         "malformed_request");
     this->expect_refused(
-        this->ask(chat_path, std::string(most_body + 1, 'x')),
+        this->make_request(chat_path, std::string(max_body + 1, 'x')),
         "request_too_large");
-    this->expect_refused(this->ask("/nowhere", ""), "unknown_service");
-    auto late = this->ask("/services/booking/", "");
+    this->expect_refused(this->make_request("/nowhere", ""), "unknown_service");
+    auto late = this->make_request("/services/booking/", "");
     late.headers["X-Deadline-Ms"] = "soon";
     this->expect_refused(late, "malformed_request");
-    auto const good = http::call(this->ask("/services/booking/", "{}"));
+    auto const good =
+        http::call(this->make_request("/services/booking/", "{}"));
     EXPECT_EQ(good.value().body, "whole");
     this->stop();
     std::vector<error_kind> const wanted{
@@ -201,9 +204,9 @@
     EXPECT_EQ(this->faults, wanted);
 }
 
-// Something that does not speak HTTP, or sends a head without end, connects to
+// A client that does not speak HTTP, or sends a head without end, connects to
 // the callers' port. It gets a clear refusal instead of an empty page, and the
-// process goes on.
+// process continues.
 TEST_F(served, heads_that_cannot_be_read_are_refused)
 {
     auto const huge = std::string(20'000, 'a');
@@ -218,21 +221,23 @@
         EXPECT_NE(text.find("application/problem+json"), std::string::npos);
         EXPECT_NE(text.find("\"ran\":\"no\""), std::string::npos) << text;
     }
-    auto const good = http::call(this->ask("/services/booking/", "{}"));
+    auto const good =
+        http::call(this->make_request("/services/booking/", "{}"));
     EXPECT_EQ(good.value().body, "whole");
     this->stop();
     EXPECT_EQ(this->faults.size(), heads.size());
 }
 
-// An entry is stopped while a caller reads a long answer. Until the last byte
-// is written the connection must stay; a fresh one is not accepted any more.
+// An entry is stopped while a caller reads a long response. The connection must
+// stay open until the last byte is written; new connections are no longer
+// accepted.
 TEST_F(served, a_drain_waits_for_the_last_byte)
 {
     std::thread stopper;
     std::string text;
     auto drained = false;
     auto const answer = http::stream(
-        this->ask("/services/slow/", ""),
+        this->make_request("/services/slow/", ""),
         [&](http::response const& /*head*/, std::string const& piece)
         {
             text += piece;
@@ -246,8 +251,8 @@
                     drained =
                         this->server.drain(std::chrono::milliseconds(5000));
                 });
-            // The drain has begun when nobody listens any more.
-            while (http::call(this->ask("/services/booking/", "{}")))
+            // The drain has begun when connections are no longer accepted.
+            while (http::call(this->make_request("/services/booking/", "{}")))
             {
                 std::this_thread::yield();
             }
@@ -261,13 +266,14 @@
 }
 
 // A caller stops reading, or the core never answers. The drain of a stopping
-// entry says so in time instead of waiting for ever.
+// entry must report that within its time limit instead of waiting for ever.
 TEST_F(served, a_drain_gives_up_in_time)
 {
     std::thread caller(
         [this]
         {
-            static_cast<void>(http::call(this->ask("/services/slow/", "")));
+            static_cast<void>(
+                http::call(this->make_request("/services/slow/", "")));
         });
     while (this->held == 0)
     {
--- a/libs/node/tests/peer_bus_tests.cpp
+++ b/libs/node/tests/peer_bus_tests.cpp
@@ -67,9 +67,9 @@
     loop.run();
 }
 
-// An agent restarts under its name. Its peers know its earlier life and address
-// that; unless it tells them, every request to it is dropped until they restart
-// too.
+// An agent restarts under its name while its peers address its earlier
+// incarnation. Unless it tells them, every request to it is dropped until they
+// restart too.
 TEST(peer_bus, a_restarted_peer_is_reached_again)
 {
     event_loop loop;
@@ -102,8 +102,8 @@
     loop.run();
 }
 
-// A peer that is not connected must be told apart at once from one that was
-// sent to: only then may a request go elsewhere as "not run".
+// A send to a peer that is not connected must fail at once: only then may a
+// request go elsewhere as "not run".
 TEST(peer_bus, says_when_a_frame_did_not_leave)
 {
     event_loop loop;
@@ -116,7 +116,7 @@
 }
 
 // An operator starts an entry twice, or with a port that is in use. The message
-// must name the address, since settings hold several.
+// must name the address, since settings contain several.
 TEST(peer_bus, names_the_address_that_it_cannot_listen_at)
 {
     event_loop loop;
@@ -136,8 +136,9 @@
     }
 }
 
-// A stranger sends bytes that are no frame, and one that is not whole. Both
-// are dropped and reported; the frames of a peer still come through.
+// A stranger sends bytes that are not a frame, a frame with a false sender and
+// a message with a surplus part. Each is dropped and reported; the frames of a
+// peer still arrive.
 TEST(peer_bus, drops_and_reports_bad_frames)
 {
     event_loop loop;
@@ -148,11 +149,11 @@
         {
             faults.push_back(error.kind);
         });
-    std::string heard;
+    std::string received_from;
     one.on_message(
         [&](std::string peer, wire::Envelope)
         {
-            heard = std::move(peer);
+            received_from = std::move(peer);
             loop.stop();
         });
     zmq::context_t context;
@@ -173,7 +174,7 @@
     stranger.send(
         zmq::buffer(hello.SerializeAsString()), zmq::send_flags::none);
     loop.run();
-    EXPECT_EQ(heard, "stranger");
+    EXPECT_EQ(received_from, "stranger");
     EXPECT_EQ(
         faults, std::vector<base::error_kind>(3, base::error_kind::bad_frame));
 }
