--- a/libs/http/include/http/http_client.hpp
+++ b/libs/http/include/http/http_client.hpp
@@ -13,15 +13,16 @@
 namespace foxtailvale::http
 {
 
-// Breaks off a call from another thread: its connection is shut down, so a
-// wait for the answer ends at once. Safe from any thread.
+// Cancels a call from another thread: its connection is shut down, so that a
+// wait for the response ends at once. Safe from any thread.
 class call_control
 {
 public:
     void cancel();
     bool is_cancelled();
 
-    // From the call: what to shut down. False when it is cancelled already.
+    // Called by the call itself: sets the function that shuts down its
+    // connection. Returns false when the call is cancelled already.
     bool attach(std::function<void()> shut_down);
     void detach();
 
@@ -31,11 +32,11 @@
     bool cancelled = false;
 };
 
-class kept_connections;
+class idle_connection_pool;
 
-// Makes a place for connections that are kept open between calls to one
-// address. Shared by several threads.
-std::shared_ptr<kept_connections> make_kept_connections();
+// Creates a pool of connections that are kept open between calls to one
+// address. May be shared by several threads.
+std::shared_ptr<idle_connection_pool> make_idle_connection_pool();
 
 struct request
 {
@@ -47,13 +48,13 @@
     std::string content_type;
     std::string body;
     std::chrono::milliseconds timeout{1000};
-    // Set for a call that may be broken off.
+    // Set for a call that may be cancelled.
     std::shared_ptr<call_control> control;
-    // Set for a call that may go over a connection which an earlier call left
-    // open. The other side may have closed it just now, and then nobody can say
-    // whether the call arrived: it is made again over a new one. Only for calls
-    // that may run twice.
-    std::shared_ptr<kept_connections> kept;
+    // Set for a call that may use a connection left open by an earlier call.
+    // The server may have closed it just now, and then it is unknown whether
+    // the call arrived: the call is repeated over a new connection. Only for
+    // calls that may run twice.
+    std::shared_ptr<idle_connection_pool> idle_pool;
 };
 
 struct response
@@ -64,20 +65,20 @@
     std::string body;
 };
 
-// Makes one call and reads the whole answer; peer_unreachable when no
+// Makes one call and reads the complete response; peer_unreachable when no
 // connection was made, endpoint_lost when it broke after that.
-base::result<response> call(request const& ask);
+base::result<response> call(request const& call_request);
 
-// Called with the head of the answer and each piece of its body. Returning
-// false breaks off.
+// Called with the head of the response and each part of its body. Returning
+// false aborts the call.
 using piece_handler =
     std::function<bool(response const& head, std::string piece)>;
 
-// As call, but hands over the body in pieces: a stream of server-sent
-// events event by event, anything else whole. The returned response has no
+// Like call(), but delivers the body in parts: a stream of server-sent events
+// event by event, any other body in one part. The returned response has no
 // body.
 base::result<response>
-stream(request const& ask, piece_handler const& on_piece);
+stream(request const& call_request, piece_handler const& on_piece);
 
 } // namespace foxtailvale::http
 
--- a/libs/http/include/http/http_server.hpp
+++ b/libs/http/include/http/http_server.hpp
@@ -27,8 +27,8 @@
 using server_handler = std::function<void(
     Poco::Net::HTTPServerRequest&, Poco::Net::HTTPServerResponse&)>;
 
-// Answers a head that cannot be read: what is wrong with it and the caller's
-// IP. The connection ends after it.
+// Answers a request head that cannot be parsed; gets a description of the fault
+// and the caller's IP. The connection is closed afterwards.
 using bad_head_handler = std::function<void(
     std::string const& what,
     std::string const& caller,
@@ -36,7 +36,7 @@
 
 class connection_table;
 
-// Where a server listens and how many connections it works on at once.
+// Where a server listens and how many connections it handles at once.
 struct server_options
 {
     std::string address;
@@ -54,14 +54,14 @@
         server_options const& options,
         server_handler handler,
         bad_head_handler bad_head = {});
-    // Ends all connections, also busy ones.
+    // Closes all connections, including busy ones.
     ~server();
     server(server const&) = delete;
     server& operator=(server const&) = delete;
 
-    // Stops listening, ends waiting connections and waits until the busy ones
-    // are answered; false when the time is over first.
-    bool drain(std::chrono::milliseconds most);
+    // Stops listening, closes connections that wait for a request and waits
+    // until the requests in progress are answered; returns false on timeout.
+    bool drain(std::chrono::milliseconds max_wait);
 
 private:
     std::shared_ptr<connection_table> table;
@@ -70,13 +70,13 @@
     std::unique_ptr<Poco::Net::TCPServer> listener;
 };
 
-// Reads a request's body up to the limit; false when it is longer.
+// Reads a request's body; returns false when it is longer than the limit.
 bool read_body(
     Poco::Net::HTTPServerRequest& request,
-    std::uint64_t most_bytes,
+    std::uint64_t max_bytes,
     std::string& body);
 
-// Answers with a whole body.
+// Sends a complete response.
 void send_text(
     Poco::Net::HTTPServerResponse& response,
     int status,
--- a/libs/http/include/http/parking_server.hpp
+++ b/libs/http/include/http/parking_server.hpp
@@ -25,13 +25,13 @@
 {
     std::string address;
     std::uint16_t port = 0;
-    // Requests worked on at once; each holds a thread from its first byte to
-    // its answer's last.
-    std::size_t most_workers = 1024;
-    // Connections open at once; more are closed on arrival.
-    std::size_t most_connections = 16'384;
+    // Limit of requests handled at once; each holds a thread from its first
+    // byte to the last byte of its response.
+    std::size_t max_workers = 1024;
+    // Limit of open connections; further ones are closed on arrival.
+    std::size_t max_connections = 16'384;
     // Longest wait for a byte from a caller in the middle of a request, or for
-    // a slow reader to take one.
+    // a slow reader to accept one.
     std::chrono::milliseconds stall_limit{10'000};
     // An idle connection is closed after this long.
     std::chrono::milliseconds idle_limit{300'000};
@@ -40,11 +40,11 @@
 // One caller's connection, kept alive between requests.
 class parked_connection;
 
-// An HTTP server whose idle connections hold no thread. Made for thousands of
-// callers that keep their connections open and ask now and then: with a thread
-// for each, the idle ones would take the threads that the active ones need.
-// Connections wait in a poll set and go to a worker when a request begins;
-// POCO's own session and request classes do the rest.
+// An HTTP server whose idle connections hold no thread. For thousands of
+// callers that keep their connections open and send a request now and then:
+// with a thread for each, the idle ones would take the threads that the active
+// ones need. Idle connections wait in a poll set and are passed to a worker
+// when a request begins; POCO's own session and request classes do the rest.
 class parking_server
 {
 public:
@@ -56,9 +56,9 @@
     parking_server(parking_server const&) = delete;
     parking_server& operator=(parking_server const&) = delete;
 
-    // Stops listening, ends waiting connections and waits until the busy ones
-    // are answered; false when the time is over first.
-    bool drain(std::chrono::milliseconds most);
+    // Stops listening, closes connections that wait for a request and waits
+    // until the requests in progress are answered; returns false on timeout.
+    bool drain(std::chrono::milliseconds max_wait);
 
 private:
     using connection = std::shared_ptr<parked_connection>;
@@ -66,8 +66,8 @@
     void poll_loop();
     void accept();
     void close_idle();
-    void hand_over(Poco::Net::Socket const& socket);
-    // Gives a connection to a worker; the caller holds the lock.
+    void on_readable(Poco::Net::Socket const& socket);
+    // Queues a connection for a worker; the caller holds the lock.
     void give_to_worker(connection active);
     void stop_polling();
     void park(connection const& idle);
@@ -88,7 +88,8 @@
     std::size_t idle_workers = 0;
     std::size_t busy_workers = 0;
     std::condition_variable finished;
-    // Set by drain: what has come is answered, nothing more is waited for.
+    // Set by drain(): requests that have arrived are answered, no others are
+    // awaited.
     std::atomic<bool> draining{false};
     std::atomic<std::size_t> open_connections{0};
     std::atomic<bool> stopping{false};
--- a/libs/http/src/connection.cpp
+++ b/libs/http/src/connection.cpp
@@ -15,7 +15,8 @@
 
 using Poco::Net::HTTPServerSession;
 
-// A socket that its peer has closed cannot be shut down again.
+// Ignores errors, since a socket that its peer has closed cannot be shut down
+// again.
 void shutdown_quietly(Poco::Net::StreamSocket& socket, bool both_ways)
 {
     try
@@ -79,9 +80,9 @@
     this->stopping = true;
     for (auto& [owner, item] : this->open)
     {
-        // Failure: a request that has arrived but is not read yet would be cut
-        // off. Only the way in is closed: what has come can still be read and
-        // answered, and the end is seen after it.
+        // Only the receiving direction is closed, so that a request that has
+        // arrived but is not read yet is not cut off: it can still be read and
+        // answered, and the end of input is seen after it.
         if (!item.busy)
         {
             shutdown_quietly(item.socket, false);
@@ -99,11 +100,11 @@
         });
 }
 
-bool connection_table::wait_idle(std::chrono::milliseconds most)
+bool connection_table::wait_idle(std::chrono::milliseconds max_wait)
 {
     std::unique_lock lock(this->mutex);
     return this->changed.wait_for(
-        lock, most,
+        lock, max_wait,
         [this]
         {
             return !this->has_busy();
@@ -146,9 +147,9 @@
     while (session.hasMoreRequests())
     {
         this->shared->table->set_busy(*this, true);
-        auto const goes_on = answer_one(session, this->socket(), exchange);
+        auto const keep_open = answer_one(session, this->socket(), exchange);
         this->shared->table->set_busy(*this, false);
-        if (!goes_on)
+        if (!keep_open)
         {
             break;
         }
--- a/libs/http/src/connection.hpp
+++ b/libs/http/src/connection.hpp
@@ -18,8 +18,8 @@
 
 class connection;
 
-// The open connections of one server, so that a stop can tell those that wait
-// for a request from those that are being answered. Safe from any thread.
+// The open connections of one server. A stop distinguishes those that wait for
+// a request from those that are being answered. Safe from any thread.
 class connection_table
 {
 public:
@@ -29,16 +29,16 @@
     // Marks the connection as answering a request, or as waiting for one.
     void set_busy(connection const& owner, bool busy);
 
-    // Whether the server is stopping: an answer then ends its connection.
+    // Whether the server is stopping: a response then ends its connection.
     bool is_stopping();
 
-    // Ends the connections that wait; those that are busy go on.
+    // Ends the connections that wait for a request; busy ones continue.
     void stop();
 
-    // Waits until no connection is busy; false when the time is over first.
-    bool wait_idle(std::chrono::milliseconds most);
+    // Waits until no connection is busy; returns false on timeout.
+    bool wait_idle(std::chrono::milliseconds max_wait);
 
-    // Ends all connections, also busy ones.
+    // Closes all connections, including busy ones.
     void abort();
 
 private:
@@ -56,7 +56,7 @@
     bool stopping = false;
 };
 
-// What all connections of a server share.
+// State shared by all connections of a server.
 struct connection_context
 {
     server_handler handler;
@@ -66,8 +66,8 @@
 };
 
 // One HTTP connection: reads requests and answers them one after another.
-// POCO's own connection class answers a head that it cannot read with an empty
-// page and nobody counts it; this one hands it to the server's owner.
+// POCO's own connection class answers an unreadable head with an empty page,
+// which nothing counts; this one passes it to the server's owner.
 class connection : public Poco::Net::TCPServerConnection
 {
 public:
--- a/libs/http/src/exchange.cpp
+++ b/libs/http/src/exchange.cpp
@@ -20,7 +20,7 @@
 using Poco::Net::HTTPServerSession;
 
 constexpr std::size_t piece_bytes = 16 * 1024;
-constexpr std::chrono::milliseconds longest_linger{1000};
+constexpr std::chrono::milliseconds max_linger{1000};
 
 void answer_bad_head(
     HTTPServerSession& session,
@@ -80,10 +80,10 @@
     return session.getKeepAlive();
 }
 
-// Failure: a connection that is closed while bytes from the caller are unread
-// is reset, and the reset overtakes the answer: the caller of a request that
-// was too large sees a broken connection and no reason. So the way out is
-// closed first and the rest is read away, within bounds.
+// Closing a connection while input is unread resets it, and the reset overtakes
+// the response: the caller of a request that was too large would see a broken
+// connection without a reason. The sending direction is therefore closed first,
+// and the remaining input is read and discarded, within a time limit.
 void linger(Poco::Net::StreamSocket& socket)
 {
     try
@@ -91,10 +91,10 @@
         socket.shutdownSend();
         std::array<char, piece_bytes> piece{};
         auto const start = std::chrono::steady_clock::now();
-        while (std::chrono::steady_clock::now() - start < longest_linger)
+        while (std::chrono::steady_clock::now() - start < max_linger)
         {
             socket.setReceiveTimeout(
-                std::chrono::microseconds(longest_linger).count());
+                std::chrono::microseconds(max_linger).count());
             auto const count = socket.receiveBytes(
                 piece.data(), static_cast<int>(piece.size()));
             if (count <= 0)
--- a/libs/http/src/http_client.cpp
+++ b/libs/http/src/http_client.cpp
@@ -29,34 +29,37 @@
         std::chrono::duration_cast<std::chrono::microseconds>(time).count());
 }
 
-// A connection of its own for each call. Nagle's algorithm is off: head and
-// body go out in two writes, and the second would wait for an acknowledgement.
-Poco::Net::StreamSocket open_socket(request const& ask)
+// Opens a connection for a call. Nagle's algorithm is off: head and body are
+// sent in two writes, and the second would wait for an acknowledgement.
+Poco::Net::StreamSocket open_socket(request const& call_request)
 {
-    Poco::Net::SocketAddress const address(ask.base.substr(scheme.size()));
+    Poco::Net::SocketAddress const address(
+        call_request.base.substr(scheme.size()));
     Poco::Net::StreamSocket socket;
-    socket.connect(address, timespan(ask.timeout));
+    socket.connect(address, timespan(call_request.timeout));
     socket.setNoDelay(true);
-    socket.setReceiveTimeout(timespan(ask.timeout));
-    socket.setSendTimeout(timespan(ask.timeout));
+    socket.setReceiveTimeout(timespan(call_request.timeout));
+    socket.setSendTimeout(timespan(call_request.timeout));
     return socket;
 }
 
-void send_request(HTTPClientSession& session, request const& ask)
+void send_request(HTTPClientSession& session, request const& call_request)
 {
     Poco::Net::HTTPRequest head(
-        ask.method, ask.path, Poco::Net::HTTPMessage::HTTP_1_1);
-    head.set("Host", ask.base.substr(scheme.size()));
-    for (auto const& [name, value] : ask.headers)
+        call_request.method, call_request.path,
+        Poco::Net::HTTPMessage::HTTP_1_1);
+    head.set("Host", call_request.base.substr(scheme.size()));
+    for (auto const& [name, value] : call_request.headers)
     {
         head.set(name, value);
     }
-    if (!ask.content_type.empty())
+    if (!call_request.content_type.empty())
     {
-        head.setContentType(ask.content_type);
+        head.setContentType(call_request.content_type);
     }
-    head.setContentLength(static_cast<std::streamsize>(ask.body.size()));
-    session.sendRequest(head) << ask.body << std::flush;
+    head.setContentLength(
+        static_cast<std::streamsize>(call_request.body.size()));
+    session.sendRequest(head) << call_request.body << std::flush;
 }
 
 response read_head(Poco::Net::HTTPResponse const& from)
@@ -71,10 +74,10 @@
     return head;
 }
 
-// Failure: the connection breaks in the middle of a body. Poco ends the
-// stream as if it were whole; a caller would get half a contract. The
-// announced length tells.
-bool is_short(Poco::Net::HTTPResponse const& head, std::size_t read)
+// Whether a body is shorter than its announced length. When the connection
+// breaks in the middle of a body, POCO ends the stream as if it were complete,
+// and a caller would get a truncated document.
+bool is_truncated(Poco::Net::HTTPResponse const& head, std::size_t read)
 {
     return head.hasContentLength() &&
            static_cast<std::size_t>(head.getContentLength()) != read;
@@ -85,10 +88,10 @@
     return {std::istreambuf_iterator<char>(body), {}};
 }
 
-// Hands over a stream of server-sent events one by one, until it ends or the
-// handler breaks off. Failure: the stream is cut within an event. Handed on,
-// the piece would melt with the error event that follows it; only whole events
-// count.
+// Delivers a stream of server-sent events one by one, until it ends or the
+// handler aborts. Only complete events are delivered: when the stream is cut
+// off within an event, the partial event would merge with the error event that
+// follows it.
 void relay_events(
     std::istream& body, response const& head, piece_handler const& handle)
 {
@@ -118,7 +121,7 @@
         return head;
     }
     auto text = read_all(body);
-    if (is_short(answer, text.size()))
+    if (is_truncated(answer, text.size()))
     {
         return base::fail(base::error_kind::endpoint_lost, "short body");
     }
@@ -126,17 +129,18 @@
     return head;
 }
 
-// Holds a call's control for as long as its connection is open.
+// Attaches a call to its control for as long as its connection is open.
 struct controlled_call
 {
-    controlled_call(request const& ask, Poco::Net::StreamSocket const& socket)
-        : control(ask.control.get())
+    controlled_call(
+        request const& call_request, Poco::Net::StreamSocket const& socket)
+        : control(call_request.control.get())
     {
         if (this->control == nullptr)
         {
             return;
         }
-        this->wanted = this->control->attach(
+        this->may_run = this->control->attach(
             [open = Poco::Net::StreamSocket(socket),
              sent = this->sent]() mutable
             {
@@ -155,14 +159,15 @@
     controlled_call(controlled_call const&) = delete;
     controlled_call& operator=(controlled_call const&) = delete;
 
-    bool wanted = true;
-    // The whole call was handed to the system.
+    bool may_run = true;
+    // The complete call was handed to the system.
     std::shared_ptr<std::atomic<bool>> sent =
         std::make_shared<std::atomic<bool>>(false);
 
 private:
-    // Wakes whoever waits at the socket. A call that was sent whole must not
-    // get an orderly end behind it; that of half a call does no harm.
+    // Wakes the thread that waits at the socket. A call that was sent
+    // completely must not be followed by an orderly close; after an incomplete
+    // call, one does no harm.
     static void shut_down(Poco::Net::StreamSocket& socket, bool sent)
     {
         try
@@ -176,7 +181,7 @@
         }
         catch (Poco::Exception const&)
         {
-            // It was closed meanwhile, which is as good.
+            // The socket was closed meanwhile, which has the same effect.
             return;
         }
     }
@@ -186,15 +191,15 @@
 
 } // namespace
 
-// Sessions by age, the youngest last.
-class kept_connections
+// Idle sessions ordered by age, the newest last.
+class idle_connection_pool
 {
 public:
     std::unique_ptr<HTTPClientSession> take()
     {
         std::lock_guard const lock(this->mutex);
         if (this->idle.empty() ||
-            clock::now() - this->idle.back().since > longest_idle)
+            clock::now() - this->idle.back().since > max_idle_time)
         {
             this->idle.clear();
             return nullptr;
@@ -207,7 +212,7 @@
     void give_back(std::unique_ptr<HTTPClientSession> session)
     {
         std::lock_guard const lock(this->mutex);
-        if (this->idle.size() < most_idle)
+        if (this->idle.size() < max_idle_sessions)
         {
             this->idle.push_back({std::move(session), clock::now()});
         }
@@ -217,8 +222,8 @@
     using clock = std::chrono::steady_clock;
 
     // Well below the time after which servers close idle connections.
-    static constexpr std::chrono::milliseconds longest_idle{2000};
-    static constexpr std::size_t most_idle = 64;
+    static constexpr std::chrono::milliseconds max_idle_time{2000};
+    static constexpr std::size_t max_idle_sessions = 64;
 
     struct idle_session
     {
@@ -233,55 +238,57 @@
 namespace
 {
 
-bool is_cancelled(request const& ask)
+bool is_cancelled(request const& call_request)
 {
-    return ask.control && ask.control->is_cancelled();
+    return call_request.control && call_request.control->is_cancelled();
 }
 
-// Whether an end of the connection is a reset, with which the server sees the
-// call broken off and the system drops what it still holds of it. Set before
-// the call, as the session closes itself when the call fails. Failure: a server
-// stood still, and at its return it was handed calls that had been given up
-// meanwhile, each whole and with an orderly end behind it; they ran.
-void set_reset_at_end(HTTPClientSession& session, bool resets)
+// Sets whether closing the connection sends a reset, which tells the server
+// that the call was aborted and makes the system drop what it still buffers of
+// it. Set before the call, as the session closes itself when the call fails.
+// With an orderly close, a stalled server that resumes would be handed calls
+// that timed out meanwhile, each complete and followed by a normal end of
+// stream, and would execute them.
+void set_reset_on_close(HTTPClientSession& session, bool resets)
 {
     session.socket().setLinger(resets, 0);
 }
 
 // Makes the call over an open connection, which is kept afterwards if the
-// answer was read whole and both sides agree.
+// response was read completely and both sides agree.
 base::result<response> run_call(
-    request const& ask,
+    request const& call_request,
     std::unique_ptr<HTTPClientSession> session,
     piece_handler const& handle)
 {
-    controlled_call const controlled(ask, session->socket());
-    if (!controlled.wanted)
+    controlled_call const controlled(call_request, session->socket());
+    if (!controlled.may_run)
     {
         return base::fail(base::error_kind::peer_unreachable, "cancelled");
     }
     try
     {
-        set_reset_at_end(*session, true);
-        session->setTimeout(timespan(ask.timeout));
-        session->setKeepAlive(ask.kept != nullptr);
-        send_request(*session, ask);
+        set_reset_on_close(*session, true);
+        session->setTimeout(timespan(call_request.timeout));
+        session->setKeepAlive(call_request.idle_pool != nullptr);
+        send_request(*session, call_request);
         *controlled.sent = true;
-        auto whole = true;
+        auto completed = true;
         auto answer = read_answer(
             *session,
             [&](response const& head, std::string piece)
             {
-                whole = handle(head, std::move(piece));
-                return whole;
+                completed = handle(head, std::move(piece));
+                return completed;
             });
-        if (answer && whole)
+        if (answer && completed)
         {
-            set_reset_at_end(*session, false);
+            set_reset_on_close(*session, false);
         }
-        if (answer && whole && ask.kept && session->getKeepAlive())
+        if (answer && completed && call_request.idle_pool &&
+            session->getKeepAlive())
         {
-            ask.kept->give_back(std::move(session));
+            call_request.idle_pool->give_back(std::move(session));
         }
         return answer;
     }
@@ -326,15 +333,17 @@
     this->stop = nullptr;
 }
 
-std::shared_ptr<kept_connections> make_kept_connections()
+std::shared_ptr<idle_connection_pool> make_idle_connection_pool()
 {
-    return std::make_shared<kept_connections>();
+    return std::make_shared<idle_connection_pool>();
 }
 
-base::result<response> stream(request const& ask, piece_handler const& on_piece)
+base::result<response>
+stream(request const& call_request, piece_handler const& on_piece)
 {
-    auto kept = ask.kept ? ask.kept->take() : nullptr;
-    if (kept)
+    auto reused =
+        call_request.idle_pool ? call_request.idle_pool->take() : nullptr;
+    if (reused)
     {
         auto begun = false;
         auto const watch = [&](response const& head, std::string piece)
@@ -342,16 +351,17 @@
             begun = true;
             return on_piece(head, std::move(piece));
         };
-        auto answer = run_call(ask, std::move(kept), watch);
-        if (answer || begun || is_cancelled(ask))
+        auto answer = run_call(call_request, std::move(reused), watch);
+        if (answer || begun || is_cancelled(call_request))
         {
             return answer;
         }
     }
     try
     {
-        auto fresh = std::make_unique<HTTPClientSession>(open_socket(ask));
-        return run_call(ask, std::move(fresh), on_piece);
+        auto fresh =
+            std::make_unique<HTTPClientSession>(open_socket(call_request));
+        return run_call(call_request, std::move(fresh), on_piece);
     }
     catch (Poco::Exception const& fault)
     {
@@ -360,11 +370,11 @@
     }
 }
 
-base::result<response> call(request const& ask)
+base::result<response> call(request const& call_request)
 {
     std::string body;
     auto answer = stream(
-        ask,
+        call_request,
         [&body](response const& /*head*/, std::string piece)
         {
             body += piece;
--- a/libs/http/src/http_server.cpp
+++ b/libs/http/src/http_server.cpp
@@ -18,11 +18,11 @@
 namespace
 {
 
-// Stack of one connection's thread, in bytes; handlers keep bodies on the
+// Stack size of a connection's thread, in bytes; handlers keep bodies on the
 // heap.
 constexpr int stack_bytes = 256 * 1024;
 
-constexpr int most_waiting_connections = 1024;
+constexpr int max_queued_connections = 1024;
 constexpr int idle_thread_seconds = 60;
 
 Poco::Net::ServerSocket listen_at(server_options const& options)
@@ -30,7 +30,7 @@
     Poco::Net::SocketAddress const address(options.address, options.port);
     try
     {
-        return {address, most_waiting_connections};
+        return {address, max_queued_connections};
     }
     catch (Poco::Exception const& fault)
     {
@@ -52,7 +52,7 @@
 {
     Poco::Net::HTTPServerParams::Ptr params = new Poco::Net::HTTPServerParams;
     params->setMaxThreads(options.max_threads);
-    params->setMaxQueued(most_waiting_connections);
+    params->setMaxQueued(max_queued_connections);
     params->setKeepAlive(true);
     auto const shared = std::make_shared<connection_context>(connection_context{
         std::move(handler), std::move(bad_head), params, this->table});
@@ -70,18 +70,19 @@
     this->threads->joinAll();
 }
 
-bool server::drain(std::chrono::milliseconds most)
+bool server::drain(std::chrono::milliseconds max_wait)
 {
     this->listener->stop();
-    // POCO leaves it open; callers would be let in and never answered.
+    // POCO leaves the socket open: callers would be accepted and never
+    // answered.
     this->socket->close();
     this->table->stop();
-    return this->table->wait_idle(most);
+    return this->table->wait_idle(max_wait);
 }
 
 bool read_body(
     Poco::Net::HTTPServerRequest& request,
-    std::uint64_t most_bytes,
+    std::uint64_t max_bytes,
     std::string& body)
 {
     constexpr std::size_t piece_bytes = 16 * 1024;
@@ -91,7 +92,7 @@
     {
         stream.read(piece.data(), piece.size());
         body.append(piece.data(), static_cast<std::size_t>(stream.gcount()));
-        if (body.size() > most_bytes)
+        if (body.size() > max_bytes)
         {
             return false;
         }
--- a/libs/http/src/parking_server.cpp
+++ b/libs/http/src/parking_server.cpp
@@ -30,8 +30,8 @@
     Poco::Net::HTTPServerParams::Ptr made = new Poco::Net::HTTPServerParams;
     made->setKeepAlive(true);
     made->setTimeout(timespan(stall_limit));
-    // After an answer only what is already there is looked for; the poll set
-    // waits for the rest.
+    // After a response, POCO looks only for input that is already there; the
+    // poll set waits for the rest.
     made->setKeepAliveTimeout(Poco::Timespan(0));
     return made;
 }
@@ -107,14 +107,15 @@
     }
 }
 
-bool parking_server::drain(milliseconds most)
+bool parking_server::drain(milliseconds max_wait)
 {
     this->draining = true;
     this->stop_polling();
     this->listener.close();
     std::unique_lock lock(this->mutex);
-    // Failure: a request that has arrived but is not read yet would be cut off
-    // with its waiting connection. Those go to a worker first.
+    // A connection whose next request has arrived but is not read yet goes to a
+    // worker first. Closed with the other idle connections, it would cut the
+    // request off.
     for (auto& [socket, idle] : this->parked)
     {
         if (idle->socket.poll(
@@ -125,7 +126,7 @@
     }
     this->parked.clear();
     return this->finished.wait_for(
-        lock, most,
+        lock, max_wait,
         [this]
         {
             return this->busy_workers == 0 && this->waiting.empty();
@@ -146,7 +147,7 @@
             }
             else
             {
-                this->hand_over(socket);
+                this->on_readable(socket);
             }
         }
         if (steady::now() - last_sweep > std::chrono::seconds(1))
@@ -164,7 +165,7 @@
         while (true)
         {
             auto peer = this->listener.acceptConnection();
-            if (this->open_connections >= this->options.most_connections)
+            if (this->open_connections >= this->options.max_connections)
             {
                 continue;
             }
@@ -178,7 +179,7 @@
     }
     catch (Poco::Exception const&)
     {
-        // No more connections wait.
+        // No more connections are pending.
         return;
     }
 }
@@ -206,14 +207,14 @@
     std::lock_guard const lock(this->mutex);
     if (this->draining)
     {
-        // Nobody polls any more: the connection ends here.
+        // The poll set is no longer polled: the connection ends here.
         return;
     }
     this->parked[idle->socket] = idle;
     this->polled.add(idle->socket, Poco::Net::PollSet::POLL_READ);
 }
 
-void parking_server::hand_over(Poco::Net::Socket const& socket)
+void parking_server::on_readable(Poco::Net::Socket const& socket)
 {
     std::lock_guard const lock(this->mutex);
     auto const found = this->parked.find(socket);
@@ -230,7 +231,7 @@
 {
     this->waiting.push_back(std::move(active));
     auto const busy = this->idle_workers < this->waiting.size();
-    if (busy && this->workers.size() < this->options.most_workers)
+    if (busy && this->workers.size() < this->options.max_workers)
     {
         this->workers.emplace_back(
             [this]
@@ -285,12 +286,12 @@
         }};
     try
     {
-        auto goes_on = true;
-        while (goes_on && !this->stopping && session.hasMoreRequests())
+        auto keep_open = true;
+        while (keep_open && !this->stopping && session.hasMoreRequests())
         {
-            goes_on = answer_one(session, active->socket, exchange);
+            keep_open = answer_one(session, active->socket, exchange);
         }
-        if (!goes_on)
+        if (!keep_open)
         {
             linger(active->socket);
             return;
@@ -303,22 +304,22 @@
     }
     catch (std::exception const&)
     {
-        // The caller went away, stalled or sent what is no request: its
-        // connection ends with this object.
+        // The caller disconnected, stalled or sent something that is not a
+        // request: its connection is closed with this object.
         return;
     }
 }
 
 bool is_closed_by_peer(Poco::Net::HTTPServerRequest& request)
 {
-    auto* const whole =
+    auto* const implementation =
         dynamic_cast<Poco::Net::HTTPServerRequestImpl*>(&request);
-    if (whole == nullptr)
+    if (implementation == nullptr)
     {
         return false;
     }
     char byte = 0;
-    auto const fd = whole->socket().impl()->sockfd();
+    auto const fd = implementation->socket().impl()->sockfd();
     return ::recv(fd, &byte, 1, MSG_PEEK | MSG_DONTWAIT) == 0;
 }
 
--- a/libs/http/tests/http_client_tests.cpp
+++ b/libs/http/tests/http_client_tests.cpp
@@ -18,28 +18,28 @@
 namespace
 {
 
-// A server whose machine stands still: the system takes connections for it, and
-// it reads nothing before it goes on.
-class standing_server
+// A stalled server: the system accepts connections for it, but it reads nothing
+// until reads_a_reset().
+class stalled_server
 {
 public:
-    standing_server()
+    stalled_server()
         : listener(Poco::Net::SocketAddress(testing::own_address(), 0))
     {
     }
 
     request call_to() const
     {
-        request ask;
-        ask.base = "http://" + this->listener.address().toString();
-        ask.method = "POST";
-        ask.path = "/";
-        ask.body = "x";
-        ask.timeout = std::chrono::milliseconds(100);
-        return ask;
+        request call_request;
+        call_request.base = "http://" + this->listener.address().toString();
+        call_request.method = "POST";
+        call_request.path = "/";
+        call_request.body = "x";
+        call_request.timeout = std::chrono::milliseconds(100);
+        return call_request;
     }
 
-    // Whether what it reads when it goes on ends with a reset.
+    // Resumes the server; returns whether what it reads ends with a reset.
     bool reads_a_reset()
     {
         auto socket = this->listener.acceptConnection();
@@ -63,29 +63,29 @@
 
 } // namespace
 
-// Guards against a server that stood still running, at its return, a call whose
-// time was up.
+// A stalled server must not execute a call that timed out meanwhile when it
+// resumes: it has to see that the call was aborted.
 TEST(http_client, a_call_that_is_given_up_ends_with_a_reset)
 {
-    standing_server server;
+    stalled_server server;
     EXPECT_FALSE(call(server.call_to()));
     EXPECT_TRUE(server.reads_a_reset());
 }
 
-// The same for a call whose owner no longer wants it.
+// The same for a call that its owner has cancelled.
 TEST(http_client, a_call_that_is_cancelled_ends_with_a_reset)
 {
-    standing_server server;
-    auto ask = server.call_to();
-    ask.timeout = std::chrono::seconds(10);
-    ask.control = std::make_shared<call_control>();
+    stalled_server server;
+    auto call_request = server.call_to();
+    call_request.timeout = std::chrono::seconds(10);
+    call_request.control = std::make_shared<call_control>();
     std::thread canceller(
-        [control = ask.control]
+        [control = call_request.control]
         {
             std::this_thread::sleep_for(std::chrono::milliseconds(100));
             control->cancel();
         });
-    EXPECT_FALSE(call(ask));
+    EXPECT_FALSE(call(call_request));
     canceller.join();
     EXPECT_TRUE(server.reads_a_reset());
 }
--- a/libs/node/include/node/endpoint_client.hpp
+++ b/libs/node/include/node/endpoint_client.hpp
@@ -58,7 +58,7 @@
     std::mutex mutex;
     std::map<base::attempt_id, std::shared_ptr<http::call_control>> active;
     std::set<base::attempt_id> cancelled;
-    std::shared_ptr<http::kept_connections> kept;
+    std::shared_ptr<http::idle_connection_pool> idle_pool;
     worker_pool work_pool;
     worker_pool transfer_pool;
     worker_pool poll_pool;
--- a/libs/node/src/endpoint_client.cpp
+++ b/libs/node/src/endpoint_client.cpp
@@ -87,7 +87,7 @@
 endpoint_client::endpoint_client(
     event_loop& owner, endpoint_addresses where, handler receive)
     : loop(owner), addresses(std::move(where)), receiver(std::move(receive)),
-      kept(http::make_kept_connections()), work_pool(max_work_threads),
+      idle_pool(http::make_idle_connection_pool()), work_pool(max_work_threads),
       transfer_pool(max_transfer_threads), poll_pool(1)
 {
 }
@@ -153,7 +153,7 @@
     }
     if (work.run.token() == 0)
     {
-        request.kept = this->kept;
+        request.idle_pool = this->idle_pool;
     }
     auto const answer = http::stream(request, on_piece);
     if (!ended)
