--- a/libs/http/src/http_client.cpp
+++ b/libs/http/src/http_client.cpp
@@ -166,8 +166,8 @@
 
 private:
     // Wakes the thread that waits at the socket. A call that was sent
-    // completely must not be followed by an orderly close; after an incomplete
-    // call, one does no harm.
+    // completely must not be followed by an orderly close (see
+    // set_reset_on_close()); after an incomplete call, one does no harm.
     static void shut_down(Poco::Net::StreamSocket& socket, bool sent)
     {
         try
--- a/libs/http/src/parking_server.cpp
+++ b/libs/http/src/parking_server.cpp
@@ -113,9 +113,9 @@
     this->stop_polling();
     this->listener.close();
     std::unique_lock lock(this->mutex);
-    // A connection whose next request has arrived but is not read yet goes to a
-    // worker first. Closed with the other idle connections, it would cut the
-    // request off.
+    // Connections on which a request has arrived but is not read yet go to a
+    // worker first: they would otherwise be closed with the idle ones, and the
+    // request would be cut off.
     for (auto& [socket, idle] : this->parked)
     {
         if (idle->socket.poll(
