--- a/testing/captured_events.hpp
+++ b/testing/captured_events.hpp
@@ -13,7 +13,9 @@
 namespace foxtailvale::testing
 {
 
-// Keeps the log lines that are written while it lives.
+// Captures the log lines that the process writes to standard error during the
+// lifetime of this object. Only one capture can be active at a time, and
+// logging is off afterwards.
 class captured_events
 {
 public:
@@ -28,47 +30,48 @@
 
     ~captured_events()
     {
-        if (!this->taken)
+        if (!this->finished)
         {
-            this->take();
+            this->finish_capture();
         }
     }
 
-    // Ends the capture: bodies of the lines with this name, in order.
+    // Ends the capture and returns the bodies of the captured events with this
+    // name, in the order they were written.
     std::vector<nlohmann::json> named(std::string const& name)
     {
-        if (!this->taken)
+        if (!this->finished)
         {
-            this->take();
+            this->finish_capture();
         }
-        std::vector<nlohmann::json> found;
+        std::vector<nlohmann::json> matches;
         for (auto const& body : this->bodies)
         {
             if (body.value("name", "") == name)
             {
-                found.push_back(body);
+                matches.push_back(body);
             }
         }
-        return found;
+        return matches;
     }
 
 private:
-    void take()
+    void finish_capture()
     {
-        this->taken = true;
+        this->finished = true;
         kernel::start_logging("test", "off");
         std::istringstream lines(::testing::internal::GetCapturedStderr());
         for (std::string line; std::getline(lines, line);)
         {
-            auto const read = nlohmann::json::parse(line, nullptr, false);
-            if (read.is_object() && read.contains("body"))
+            auto const parsed = nlohmann::json::parse(line, nullptr, false);
+            if (parsed.is_object() && parsed.contains("body"))
             {
-                this->bodies.push_back(read["body"]);
+                this->bodies.push_back(parsed["body"]);
             }
         }
     }
 
-    bool taken = false;
+    bool finished = false;
     std::vector<nlohmann::json> bodies;
 };
 
--- a/testing/test_address.hpp
+++ b/testing/test_address.hpp
@@ -8,8 +8,8 @@
 namespace foxtailvale::testing
 {
 
-// A loopback address of this process's own, so that tests of several checkouts
-// can run at once with the same ports.
+// Returns a loopback address derived from the process ID, so that tests of
+// several checkouts can run concurrently on the same port numbers.
 inline std::string own_address()
 {
     auto const id = static_cast<unsigned>(getpid());
