--- a/standins/include/standins/link.hpp
+++ b/standins/include/standins/link.hpp
@@ -12,10 +12,10 @@
 namespace foxtailvale::standins
 {
 
-// One address that the link listens on and where it leads.
+// An address that the link listens on and the target it forwards to.
 struct link_route
 {
-    // Side that the connections come from: the link's first or second name.
+    // Network that the connections come from: `first` or `second` of the link.
     std::string from;
     std::string listen_address;
     std::uint16_t listen_port = 0;
@@ -23,26 +23,27 @@
     std::uint16_t target_port = 0;
 };
 
-// A link between two networks, shared by all its routes.
+// A link between two networks. Its bandwidth is shared by all its routes.
 struct link_options
 {
     std::string first;
     std::string second;
     std::chrono::microseconds latency{0};
-    // Each way; zero is unlimited.
+    // Per direction; zero is unlimited.
     std::uint64_t bits_per_second = 0;
     std::vector<link_route> routes;
 };
 
-// A paced link: forwards TCP connections with one-way latency and a rate per
-// direction, counts bytes, and can be cut whole or one way. A cut stops bytes
-// and answers no new connection, as a network that drops packets does.
+// A rate-limited network link: forwards TCP connections with a one-way latency
+// and a rate limit per direction, counts bytes, and can be cut in one direction
+// or both. A cut stops bytes on open connections and establishes no new
+// connections, which imitates a network that drops packets.
 class link
 {
 public:
     // The control port answers POST /control {"cut": "none" | "both" |
-    // "first-to-second" | "second-to-first"} and GET /counters: bytes each way,
-    // also by pair of the address that called and the one that listened.
+    // "first-to-second" | "second-to-first"} and GET /counters: bytes per
+    // direction, in total and per pair of source address and listening address.
     link(
         http::server_options const& control_options,
         link_options const& options);
@@ -51,7 +52,7 @@
 private:
     class forwarder;
 
-    std::unique_ptr<forwarder> forwards;
+    std::unique_ptr<forwarder> tcp_forwarder;
     http::server control;
 };
 
--- a/standins/include/standins/object_api.hpp
+++ b/standins/include/standins/object_api.hpp
@@ -16,9 +16,10 @@
 namespace foxtailvale::standins
 {
 
-// The platform's object API and list of VMs: versions, conditional updates,
-// watches, and switches for outage, slowness, answers lost after the effect,
-// rates and compaction. Each call counts once, a waiting watch too.
+// The platform's object API and VM list, with object versions, conditional
+// updates and watches. Faults can be injected: outage, delay, answers that are
+// lost after the write took effect, rate limits and compaction. Every call
+// increments the call counter once, including a long-polling watch.
 class object_api
 {
 public:
@@ -31,35 +32,36 @@
         std::string value;
     };
 
-    // Faults that are switched on.
+    // Faults that are currently injected.
     struct faults
     {
         bool outage = false;
         std::chrono::milliseconds delay{0};
-        // Answers to the next so many writes are lost after their effect.
+        // Number of upcoming writes that take effect but are answered with 503.
         std::uint32_t lost_answers = 0;
-        // Watches that ask for changes after an older version get 410: what
-        // changed before it is compacted away.
+        // Watches from a version older than this get 410, because the earlier
+        // changes are compacted away.
         std::uint64_t compacted = 0;
     };
 
     using request = Poco::Net::HTTPServerRequest;
     using response = Poco::Net::HTTPServerResponse;
 
-    void answer(request& ask, response& reply);
-    void answer_call(request& ask, response& reply);
+    void answer(request& incoming, response& reply);
+    void answer_call(request& incoming, response& reply);
     void get(std::string const& path, response& reply);
-    void put(std::string const& path, request& ask, response& reply);
+    void put(std::string const& path, request& incoming, response& reply);
     void remove(std::string const& path, response& reply);
     void watch(std::string const& uri, response& reply);
     void list(std::string const& prefix, response& reply);
-    void send_vms(request& ask, response& reply);
-    void control(request& ask, response& reply);
+    void send_vms(request& incoming, response& reply);
+    void control(request& incoming, response& reply);
     void send_counters(response& reply);
     void send_object(object const& found, response& reply);
     bool lose_answer();
-    // Counts the call under its kind; false when its rate is exceeded.
-    bool admit(request const& ask);
+    // Applies the read or write rate limit; returns false and counts the call
+    // as throttled when the limit is exceeded.
+    bool admit(request const& incoming);
     void change_faults(nlohmann::json const& value);
 
     std::mutex mutex;
--- a/standins/include/standins/origin.hpp
+++ b/standins/include/standins/origin.hpp
@@ -14,15 +14,16 @@
 namespace foxtailvale::standins
 {
 
-// How the origin behaves.
+// Limits of the origin.
 struct origin_options
 {
-    // Bytes a second over all connections; zero is unlimited.
+    // Total over all connections; zero is unlimited.
     std::uint64_t bytes_per_second = 0;
 };
 
-// The origin of weights, or with a rate the rate-limited weight store: serves
-// manifests and chunks, counts bytes, and corrupts chunks when told to.
+// The origin of weights; with a rate limit it stands for a rate-limited weight
+// store. Serves manifests and chunks, counts bytes per version, and corrupts
+// chunks on request.
 class origin
 {
 public:
@@ -35,10 +36,10 @@
     using request = Poco::Net::HTTPServerRequest;
     using response = Poco::Net::HTTPServerResponse;
 
-    void answer(request& ask, response& reply);
+    void answer(request& incoming, response& reply);
     void send_chunk(
         synthetic_weights const& version, std::size_t index, response& reply);
-    void control(request& ask, response& reply);
+    void control(request& incoming, response& reply);
     void send_counters(response& reply);
     bool take_allowance(std::uint64_t bytes);
 
--- a/standins/include/standins/plain_service.hpp
+++ b/standins/include/standins/plain_service.hpp
@@ -2,7 +2,7 @@
 #define FOXTAILVALE_STANDINS_PLAIN_SERVICE_HPP
 
 #include <http/http_server.hpp>
-#include <standins/begun_log.hpp>
+#include <standins/request_start_log.hpp>
 
 #include <chrono>
 #include <cstdint>
@@ -13,8 +13,8 @@
 namespace foxtailvale::standins
 {
 
-// A plain service, such as one that books swap visits: counts each run by
-// request id, so that a doubled one shows.
+// A plain service, such as one that books swap visits. Counts the runs
+// per request ID, so that duplicate execution is detectable.
 class plain_service
 {
 public:
@@ -27,15 +27,15 @@
     using request = Poco::Net::HTTPServerRequest;
     using response = Poco::Net::HTTPServerResponse;
 
-    void answer(request& ask, response& reply);
+    void answer(request& incoming, response& reply);
 
     std::string instance;
     std::chrono::milliseconds work_time;
     std::mutex mutex;
     std::map<std::string, std::uint64_t> runs;
-    // Milliseconds since the epoch at which a call last began.
+    // Milliseconds since the epoch when the latest call started.
     std::int64_t last_begin_ms = 0;
-    begun_log begun;
+    request_start_log starts;
     http::server listener;
 };
 
--- a/standins/include/standins/request_start_log.hpp
+++ b/standins/include/standins/request_start_log.hpp
@@ -1,5 +1,5 @@
-#ifndef FOXTAILVALE_STANDINS_BEGUN_LOG_HPP
-#define FOXTAILVALE_STANDINS_BEGUN_LOG_HPP
+#ifndef FOXTAILVALE_STANDINS_REQUEST_START_LOG_HPP
+#define FOXTAILVALE_STANDINS_REQUEST_START_LOG_HPP
 
 #include <nlohmann/json.hpp>
 
@@ -10,14 +10,15 @@
 namespace foxtailvale::standins
 {
 
-// When an endpoint began each request, for a checker that reads it after the
-// run. Keeps the latest ones; not safe between threads.
-class begun_log
+// Records when an endpoint started each request, for a checker that reads the
+// log after the run. Keeps a bounded number of the latest entries. Not
+// thread-safe.
+class request_start_log
 {
 public:
     void add(std::string request);
 
-    // [[milliseconds since the epoch, request id], ...]
+    // Returns [[milliseconds since the epoch, request ID], ...], oldest first.
     nlohmann::json to_json() const;
 
 private:
--- a/standins/include/standins/standins.hpp
+++ b/standins/include/standins/standins.hpp
@@ -57,7 +57,7 @@
     link_options link;
 };
 
-// Which stand-ins one process hosts.
+// The stand-ins that one process hosts.
 struct standin_settings
 {
     std::optional<platform_settings> platform;
@@ -67,10 +67,11 @@
     std::vector<link_settings> links;
 };
 
-// Reads settings and adds all faults to the document.
+// Parses the settings. Errors are appended to `source.faults`.
 standin_settings read_standin_settings(release::document& source);
 
-// Runs the stand-ins until SIGTERM or SIGINT. Returns the exit code.
+// Runs the stand-ins until SIGTERM or SIGINT, then ends the process without
+// waiting for open connections.
 int run_standins(standin_settings const& settings);
 
 } // namespace foxtailvale::standins
--- a/standins/include/standins/synthetic.hpp
+++ b/standins/include/standins/synthetic.hpp
@@ -6,12 +6,12 @@
 #include <cstdint>
 #include <string>
 
-// What the stand-ins and the load tool both can compute, so that every answer
-// can be checked.
+// Weights and answers that the stand-ins and the load tool compute
+// independently, so that every answer can be verified.
 namespace foxtailvale::standins
 {
 
-// Weights made from a seed.
+// Pseudo-random weights generated from a seed.
 struct synthetic_weights
 {
     std::string bytes;
@@ -20,15 +20,16 @@
     std::string digest;
 };
 
-// The same seed and sizes give the same weights.
+// Deterministic: the same seed and sizes give the same weights.
 synthetic_weights make_weights(
     std::uint64_t seed, std::uint64_t total_bytes, std::uint32_t chunk_bytes);
 
-// One token of the answer that weights with this digest give to a prompt.
+// Returns the token at `index` of the answer that weights with this digest
+// give to a prompt.
 std::string answer_token(
     std::string const& digest, std::string const& prompt, std::uint32_t index);
 
-// The whole answer of so many tokens.
+// Returns the first `tokens` tokens of that answer, concatenated.
 std::string answer_text(
     std::string const& digest, std::string const& prompt, std::uint32_t tokens);
 
--- a/standins/include/standins/token_bucket.hpp
+++ b/standins/include/standins/token_bucket.hpp
@@ -6,7 +6,8 @@
 namespace foxtailvale::standins
 {
 
-// A rate limit with bursts of up to one second's worth. Zero is no limit.
+// A rate limiter that allows bursts of up to one second's allowance. A rate of
+// zero means no limit.
 struct token_bucket
 {
     double per_second = 0;
@@ -14,7 +15,8 @@
     std::chrono::steady_clock::time_point refilled;
 };
 
-// Takes the amount if it is there.
+// Takes the amount from the bucket and returns true, or returns false without
+// taking anything when the allowance does not cover it.
 bool take(
     token_bucket& bucket,
     double amount,
--- a/standins/include/standins/wall_clock.hpp
+++ b/standins/include/standins/wall_clock.hpp
@@ -7,8 +7,8 @@
 namespace foxtailvale::standins
 {
 
-// Milliseconds since the epoch, for times that processes on one machine
-// compare.
+// Milliseconds since the epoch on the system clock, for timestamps that are
+// compared between processes of one machine.
 inline std::int64_t wall_clock_ms()
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(
--- a/standins/src/engine.cpp
+++ b/standins/src/engine.cpp
@@ -20,10 +20,10 @@
 using nlohmann::json;
 using std::chrono::microseconds;
 
-constexpr std::uint64_t most_body_bytes = 4U * 1024U * 1024U;
+constexpr std::uint64_t max_body_bytes = 4U * 1024U * 1024U;
 constexpr std::size_t prefix_bytes = 64;
 constexpr char const* json_type = "application/json";
-// A prompt that holds this text crashes every engine that runs it.
+// A prompt that contains this text crashes any engine that runs it.
 constexpr char const* crash_mark = "crash-this-engine";
 
 std::string stream_event(std::string const& id, std::string const& token)
@@ -38,7 +38,7 @@
            "\n\n";
 }
 
-std::string whole_answer(std::string const& id, std::string const& text)
+std::string completion_body(std::string const& id, std::string const& text)
 {
     return json{
         {"id", id},
@@ -51,14 +51,14 @@
         .dump();
 }
 
-// Fetches a version from the agent and checks it against its digest; false
-// when it is not whole.
+// Downloads a version from the agent and verifies it against its digest.
+// Returns false when any part is missing or does not match.
 bool fetch_weights(std::string const& source, std::string const& digest)
 {
-    http::request ask;
-    ask.base = source;
-    ask.path = "/weights/" + digest + "/manifest";
-    auto const text = http::call(ask);
+    http::request download;
+    download.base = source;
+    download.path = "/weights/" + digest + "/manifest";
+    auto const text = http::call(download);
     if (!text || text.value().status != 200)
     {
         return false;
@@ -71,8 +71,9 @@
     auto const& chunks = manifest.value().chunks;
     for (std::size_t index = 0; index < chunks.size(); ++index)
     {
-        ask.path = "/weights/" + digest + "/chunks/" + std::to_string(index);
-        auto const chunk = http::call(ask);
+        download.path =
+            "/weights/" + digest + "/chunks/" + std::to_string(index);
+        auto const chunk = http::call(download);
         if (!chunk || chunk.value().status != 200 ||
             base::sha256_hex(chunk.value().body) != chunks[index])
         {
@@ -84,26 +85,28 @@
 
 } // namespace
 
-engine::engine(http::server_options const& options, engine_options how)
-    : behaviour(std::move(how)), listener(
-                                     options,
-                                     [this](request& ask, response& reply)
-                                     {
-                                         this->answer(ask, reply);
-                                     })
+engine::engine(
+    http::server_options const& options, engine_options engine_behaviour)
+    : behaviour(std::move(engine_behaviour)),
+      listener(
+          options,
+          [this](request& incoming, response& reply)
+          {
+              this->answer(incoming, reply);
+          })
 {
 }
 
-void engine::answer(request& ask, response& reply)
+void engine::answer(request& incoming, response& reply)
 {
-    auto const& uri = ask.getURI();
+    auto const& uri = incoming.getURI();
     if (uri == "/v1/chat/completions")
     {
-        return this->answer_chat(ask, reply);
+        return this->answer_chat(incoming, reply);
     }
     if (uri == "/orders")
     {
-        return this->answer_order(ask, reply);
+        return this->answer_order(incoming, reply);
     }
     if (uri == "/state")
     {
@@ -115,15 +118,15 @@
     }
     if (uri == "/control")
     {
-        return this->control(ask, reply);
+        return this->control(incoming, reply);
     }
     http::send_text(reply, 404, json_type, "{}");
 }
 
-void engine::answer_chat(request& ask, response& reply)
+void engine::answer_chat(request& incoming, response& reply)
 {
     std::string body;
-    http::read_body(ask, most_body_bytes, body);
+    http::read_body(incoming, max_body_bytes, body);
     auto const value = json::parse(body, nullptr, false);
     if (!value.is_object() || !value.contains("messages") ||
         value["messages"].empty())
@@ -131,13 +134,13 @@
         return http::send_text(reply, 400, json_type, "{}");
     }
     chat wanted;
-    wanted.id = ask.get("X-Request-Id", "none");
+    wanted.id = incoming.get("X-Request-Id", "none");
     wanted.model = value.value("model", "");
     wanted.prompt = value["messages"].back().value("content", "");
     wanted.tokens = value.value("max_tokens", wanted.tokens);
     wanted.stream = value.value("stream", false);
     wanted.resume_from = static_cast<std::uint32_t>(
-        std::strtoul(ask.get("X-Resume-From", "0").c_str(), nullptr, 10));
+        std::strtoul(incoming.get("X-Resume-From", "0").c_str(), nullptr, 10));
     if (!this->begin(wanted))
     {
         return http::send_text(reply, 503, json_type, "{}");
@@ -154,24 +157,25 @@
     }
 }
 
-bool engine::begin(chat& ask)
+bool engine::begin(chat& job)
 {
     std::unique_lock lock(this->mutex);
     ++this->counters["requests"];
     this->last_begin_ms = wall_clock_ms();
-    if (!this->models.contains(ask.model))
+    if (!this->models.contains(job.model))
     {
         ++this->counters["unknown_model"];
         return false;
     }
-    this->begun.add(ask.id);
-    ask.life = this->life;
+    this->starts.add(job.id);
+    job.incarnation = this->incarnation;
     auto const cold = this->answers_since_start < this->behaviour.warm_after;
-    auto const overloaded = cold && this->running >= this->behaviour.cold_bears;
+    auto const overloaded =
+        cold && this->running >= this->behaviour.cold_capacity;
     this->counters["overloaded_cold"] += overloaded ? 1 : 0;
-    if (ask.prompt.find(crash_mark) != std::string::npos || overloaded)
+    if (job.prompt.find(crash_mark) != std::string::npos || overloaded)
     {
-        this->fall_over();
+        this->crash();
         return false;
     }
     this->changed.wait(
@@ -179,38 +183,39 @@
         [&]
         {
             return this->running < this->behaviour.slots ||
-                   this->life != ask.life;
+                   this->incarnation != job.incarnation;
         });
-    if (this->life != ask.life)
+    if (this->incarnation != job.incarnation)
     {
         return false;
     }
     ++this->running;
-    auto const most =
+    auto const peak =
         std::max<std::uint64_t>(this->counters["most_running"], this->running);
-    this->counters["most_running"] = most;
+    this->counters["most_running"] = peak;
     return true;
 }
 
-void engine::end(chat& ask, bool whole)
+void engine::end(chat& job, bool complete)
 {
     {
         std::lock_guard const lock(this->mutex);
-        auto const first_time = !std::exchange(ask.ended, true);
-        if (first_time && ask.life == this->life)
+        auto const first_time = !std::exchange(job.ended, true);
+        if (first_time && job.incarnation == this->incarnation)
         {
             --this->running;
-            this->answers_since_start += whole ? 1 : 0;
-            ++this->counters[whole ? "answers" : "broken_off"];
+            this->answers_since_start += complete ? 1 : 0;
+            ++this->counters[complete ? "answers" : "broken_off"];
         }
     }
     this->changed.notify_all();
 }
 
-// The process dies and is started again: empty, cold, with a new instance.
-void engine::fall_over()
+// Simulates a crash and restart of the process: no models are loaded, the
+// engine is cold, and it reports a new instance.
+void engine::crash()
 {
-    ++this->life;
+    ++this->incarnation;
     ++this->counters["fell_over"];
     this->running = 0;
     this->answers_since_start = 0;
@@ -238,12 +243,12 @@
 }
 
 bool engine::wait_token(
-    chat const& ask, std::uint32_t index, std::string& token)
+    chat const& job, std::uint32_t index, std::string& token)
 {
     std::unique_lock lock(this->mutex);
-    auto time = index == ask.resume_from ? this->first_token_time(ask.prompt)
+    auto time = index == job.resume_from ? this->first_token_time(job.prompt)
                                          : this->behaviour.token_interval;
-    // A fuller batch makes each step a little slower.
+    // Each step takes longer the fuller the batch is.
     auto const load =
         1.0 + 0.5 * this->running / static_cast<double>(this->behaviour.slots);
     time = std::chrono::duration_cast<microseconds>(
@@ -252,29 +257,30 @@
         lock, time,
         [&]
         {
-            return this->life != ask.life;
+            return this->incarnation != job.incarnation;
         });
-    auto const loaded = this->models.find(ask.model);
+    auto const loaded = this->models.find(job.model);
     if (died || loaded == this->models.end())
     {
         return false;
     }
-    token = answer_token(loaded->second, ask.prompt, index);
+    token = answer_token(loaded->second, job.prompt, index);
     return true;
 }
 
-void engine::run_chat(chat& ask, response& reply)
+void engine::run_chat(chat& job, response& reply)
 {
     std::string text;
     std::ostream* body = nullptr;
-    for (auto index = ask.resume_from; index < ask.tokens; ++index)
+    for (auto index = job.resume_from; index < job.tokens; ++index)
     {
         std::string token;
-        if (!this->wait_token(ask, index, token))
+        if (!this->wait_token(job, index, token))
         {
-            throw std::runtime_error("the engine fell over");
+            throw std::runtime_error(
+                "the engine crashed or unloaded the model while it answered");
         }
-        if (!ask.stream)
+        if (!job.stream)
         {
             text += token;
             continue;
@@ -285,27 +291,28 @@
             reply.setChunkedTransferEncoding(true);
             body = &reply.send();
         }
-        *body << stream_event(ask.id, token) << std::flush;
+        *body << stream_event(job.id, token) << std::flush;
         if (!*body)
         {
-            throw std::runtime_error("the reader went away");
+            throw std::runtime_error(
+                "the client closed the connection during a streamed answer");
         }
     }
-    // The batch's slot is free with the last token; whoever reads the end may
-    // use it at once.
-    this->end(ask, true);
+    // Free the batch slot before the end of the answer is sent: a client that
+    // has read the end may use the slot immediately.
+    this->end(job, true);
     if (body != nullptr)
     {
         *body << "data: [DONE]\n\n" << std::flush;
         return;
     }
-    http::send_text(reply, 200, json_type, whole_answer(ask.id, text));
+    http::send_text(reply, 200, json_type, completion_body(job.id, text));
 }
 
-void engine::answer_order(request& ask, response& reply)
+void engine::answer_order(request& incoming, response& reply)
 {
     std::string body;
-    http::read_body(ask, most_body_bytes, body);
+    http::read_body(incoming, max_body_bytes, body);
     auto const order = json::parse(body, nullptr, false);
     if (!order.is_object())
     {
@@ -353,7 +360,7 @@
     {
         std::lock_guard const lock(this->mutex);
         value["instance"] =
-            this->behaviour.name + "/" + std::to_string(this->life);
+            this->behaviour.name + "/" + std::to_string(this->incarnation);
         value["cold"] = this->answers_since_start < this->behaviour.warm_after;
         value["running"] = this->running;
         value["models"] = json::array();
@@ -372,15 +379,15 @@
         std::lock_guard const lock(this->mutex);
         value = this->counters;
         value["last_begin_ms"] = this->last_begin_ms;
-        value["begun"] = this->begun.to_json();
+        value["begun"] = this->starts.to_json();
     }
     http::send_text(reply, 200, json_type, value.dump());
 }
 
-void engine::control(request& ask, response& reply)
+void engine::control(request& incoming, response& reply)
 {
     std::string text;
-    http::read_body(ask, most_body_bytes, text);
+    http::read_body(incoming, max_body_bytes, text);
     auto const value = json::parse(text, nullptr, false);
     if (!value.is_object())
     {
@@ -391,7 +398,7 @@
         this->slowness = value.value("slowness", this->slowness);
         if (value.value("fall_over", false))
         {
-            this->fall_over();
+            this->crash();
         }
         if (value.value("turn_cold", false))
         {
--- a/standins/src/link.cpp
+++ b/standins/src/link.cpp
@@ -25,14 +25,14 @@
 using nlohmann::json;
 
 constexpr std::size_t read_bytes = 64U * 1024U;
-// Bytes under way in one direction of one connection; the sender waits past
-// it, as it would for a full window.
-constexpr std::size_t most_queued_bytes = 512U * 1024U;
-// Bytes that may pass in one burst at a link's rate.
+// Limit of the bytes in flight in one direction of one connection. Beyond it
+// the link stops reading, so the sender blocks as on a full TCP window.
+constexpr std::size_t max_queued_bytes = 512U * 1024U;
+// Burst size of the rate limit, as time at the link's rate.
 constexpr double burst_seconds = 0.01;
 constexpr int poll_milliseconds = 1;
 
-// One direction of the link: a token bucket that all connections share.
+// One direction of the link, with a token bucket shared by all connections.
 struct direction
 {
     double bytes_per_second = 0;
@@ -42,46 +42,46 @@
     std::atomic<bool> cut{false};
 };
 
-std::size_t allowed_bytes(direction& way, clock::time_point now)
+std::size_t allowed_bytes(direction& channel, clock::time_point now)
 {
-    if (way.cut)
+    if (channel.cut)
     {
         return 0;
     }
-    if (way.bytes_per_second == 0)
+    if (channel.bytes_per_second == 0)
     {
         return read_bytes;
     }
-    std::chrono::duration<double> const passed = now - way.refilled;
-    way.refilled = now;
-    auto const burst = way.bytes_per_second * burst_seconds;
-    way.allowance =
-        std::min(burst, way.allowance + passed.count() * way.bytes_per_second);
-    return static_cast<std::size_t>(std::max(way.allowance, 0.0));
+    std::chrono::duration<double> const passed = now - channel.refilled;
+    channel.refilled = now;
+    auto const burst = channel.bytes_per_second * burst_seconds;
+    channel.allowance = std::min(
+        burst, channel.allowance + passed.count() * channel.bytes_per_second);
+    return static_cast<std::size_t>(std::max(channel.allowance, 0.0));
 }
 
-// Bytes between one address and one listening address, each way.
+// Bytes per direction between one source address and one listening address.
 struct pair_bytes
 {
-    std::atomic<std::uint64_t> there{0};
-    std::atomic<std::uint64_t> back{0};
+    std::atomic<std::uint64_t> forward{0};
+    std::atomic<std::uint64_t> reverse{0};
 };
 
-struct parcel
+struct segment
 {
     clock::time_point due;
     std::string bytes;
 };
 
-// One way of one connection.
+// One direction of one connection.
 struct pipe
 {
     Poco::Net::StreamSocket source;
     Poco::Net::StreamSocket target;
-    direction* way = nullptr;
-    // Counts what passes, by pair of addresses.
-    std::atomic<std::uint64_t>* counted = nullptr;
-    std::deque<parcel> queue;
+    direction* channel = nullptr;
+    // Byte counter of the pair of addresses.
+    std::atomic<std::uint64_t>* transferred = nullptr;
+    std::deque<segment> queue;
     std::size_t queued = 0;
     bool source_closed = false;
     bool done = false;
@@ -89,11 +89,11 @@
 
 struct connection
 {
-    pipe there;
-    pipe back;
+    pipe forward;
+    pipe reverse;
 };
 
-struct listening
+struct listening_route
 {
     Poco::Net::ServerSocket socket;
     Poco::Net::SocketAddress target;
@@ -120,7 +120,7 @@
     while (!pipe.queue.empty() && pipe.queue.front().due <= now)
     {
         auto& front = pipe.queue.front();
-        auto const allowed = allowed_bytes(*pipe.way, now);
+        auto const allowed = allowed_bytes(*pipe.channel, now);
         auto const size = std::min(allowed, front.bytes.size());
         if (size == 0)
         {
@@ -133,9 +133,9 @@
             return;
         }
         auto const moved = static_cast<std::size_t>(sent);
-        pipe.way->allowance -= static_cast<double>(moved);
-        pipe.way->bytes += moved;
-        *pipe.counted += moved;
+        pipe.channel->allowance -= static_cast<double>(moved);
+        pipe.channel->bytes += moved;
+        *pipe.transferred += moved;
         pipe.queued -= moved;
         front.bytes.erase(0, moved);
         if (front.bytes.empty())
@@ -155,14 +155,16 @@
 class link::forwarder
 {
 public:
-    explicit forwarder(link_options const& given) : options(given)
+    explicit forwarder(link_options const& forwarder_options)
+        : options(forwarder_options)
     {
-        auto const rate = static_cast<double>(given.bits_per_second) / 8;
+        auto const rate =
+            static_cast<double>(forwarder_options.bits_per_second) / 8;
         this->first_to_second.bytes_per_second = rate;
         this->second_to_first.bytes_per_second = rate;
-        for (auto const& route : given.routes)
+        for (auto const& route : forwarder_options.routes)
         {
-            listening entry;
+            listening_route entry;
             entry.socket.bind(
                 Poco::Net::SocketAddress(
                     route.listen_address, route.listen_port),
@@ -171,7 +173,7 @@
             entry.socket.setBlocking(false);
             entry.target = Poco::Net::SocketAddress(
                 route.target_address, route.target_port);
-            entry.from_first = route.from == given.first;
+            entry.from_first = route.from == forwarder_options.first;
             this->listeners.push_back(std::move(entry));
         }
         this->thread = std::thread(
@@ -205,8 +207,8 @@
                 found.push_back(
                     {{"source", addresses.first},
                      {"listen", addresses.second},
-                     {"there_bytes", bytes.there.load()},
-                     {"back_bytes", bytes.back.load()}});
+                     {"there_bytes", bytes.forward.load()},
+                     {"back_bytes", bytes.reverse.load()}});
             }
         }
         return {
@@ -232,7 +234,7 @@
                 this->connections,
                 [](connection const& entry)
                 {
-                    return entry.there.done && entry.back.done;
+                    return entry.forward.done && entry.reverse.done;
                 });
         }
     }
@@ -247,12 +249,14 @@
         std::vector<pipe*> readers;
         for (auto& entry : this->connections)
         {
-            for (auto* const way : {&entry.there, &entry.back})
+            for (auto* const channel : {&entry.forward, &entry.reverse})
             {
-                if (!way->source_closed && way->queued < most_queued_bytes)
+                if (!channel->source_closed &&
+                    channel->queued < max_queued_bytes)
                 {
-                    items.push_back({way->source.impl()->sockfd(), POLLIN, 0});
-                    readers.push_back(way);
+                    items.push_back(
+                        {channel->source.impl()->sockfd(), POLLIN, 0});
+                    readers.push_back(channel);
                 }
             }
         }
@@ -274,28 +278,28 @@
         }
     }
 
-    void read(pipe& way)
+    void read(pipe& channel)
     {
         try
         {
-            read_into(way, this->options.latency);
+            read_into(channel, this->options.latency);
         }
         catch (Poco::Exception const&)
         {
-            way.source_closed = true;
+            channel.source_closed = true;
         }
     }
 
-    void accept(listening& entry)
+    void accept(listening_route& entry)
     {
         try
         {
             auto source = entry.socket.acceptConnection();
-            auto& there = entry.from_first ? this->first_to_second
-                                           : this->second_to_first;
-            auto& back = entry.from_first ? this->second_to_first
-                                          : this->first_to_second;
-            if (there.cut || back.cut)
+            auto& forward = entry.from_first ? this->first_to_second
+                                             : this->second_to_first;
+            auto& reverse = entry.from_first ? this->second_to_first
+                                             : this->first_to_second;
+            if (forward.cut || reverse.cut)
             {
                 return;
             }
@@ -305,18 +309,33 @@
                 socket->setNoDelay(true);
                 socket->setBlocking(false);
             }
-            auto& counted = this->pair_of(source);
+            auto& transferred = this->counters_of(source);
             this->connections.push_back(
-                {{source, target, &there, &counted.there, {}, 0, false, false},
-                 {target, source, &back, &counted.back, {}, 0, false, false}});
+                {{source,
+                  target,
+                  &forward,
+                  &transferred.forward,
+                  {},
+                  0,
+                  false,
+                  false},
+                 {target,
+                  source,
+                  &reverse,
+                  &transferred.reverse,
+                  {},
+                  0,
+                  false,
+                  false}});
         }
         catch (Poco::Exception const&)
         {
-            // The target refused: the caller's connection is closed too.
+            // The target refused the connection; the source connection is
+            // closed as it goes out of scope.
         }
     }
 
-    pair_bytes& pair_of(Poco::Net::StreamSocket const& source)
+    pair_bytes& counters_of(Poco::Net::StreamSocket const& source)
     {
         std::lock_guard const lock(this->mutex);
         return this->pairs[{
@@ -326,11 +345,11 @@
 
     void move(connection& entry, clock::time_point now)
     {
-        for (auto* const way : {&entry.there, &entry.back})
+        for (auto* const channel : {&entry.forward, &entry.reverse})
         {
             try
             {
-                write_due(*way, now);
+                write_due(*channel, now);
             }
             catch (Poco::Exception const&)
             {
@@ -342,19 +361,19 @@
 
     void drop(connection& entry)
     {
-        for (auto* const way : {&entry.there, &entry.back})
+        for (auto* const channel : {&entry.forward, &entry.reverse})
         {
-            way->done = true;
-            way->source_closed = true;
-            way->queue.clear();
-            way->source.close();
+            channel->done = true;
+            channel->source_closed = true;
+            channel->queue.clear();
+            channel->source.close();
         }
     }
 
     link_options options;
     direction first_to_second;
     direction second_to_first;
-    std::vector<listening> listeners;
+    std::vector<listening_route> listeners;
     std::list<connection> connections;
     std::mutex mutex;
     std::map<std::pair<std::string, std::string>, pair_bytes> pairs;
@@ -364,24 +383,24 @@
 
 link::link(
     http::server_options const& control_options, link_options const& options)
-    : forwards(std::make_unique<forwarder>(options)),
+    : tcp_forwarder(std::make_unique<forwarder>(options)),
       control(
           control_options,
           [this](
-              Poco::Net::HTTPServerRequest& ask,
+              Poco::Net::HTTPServerRequest& incoming,
               Poco::Net::HTTPServerResponse& reply)
           {
-              if (ask.getURI() == "/control")
+              if (incoming.getURI() == "/control")
               {
                   std::string text;
-                  http::read_body(ask, read_bytes, text);
+                  http::read_body(incoming, read_bytes, text);
                   auto const value = json::parse(text, nullptr, false);
-                  this->forwards->cut(
+                  this->tcp_forwarder->cut(
                       value.is_object() ? value.value("cut", "none") : "none");
               }
               http::send_text(
                   reply, 200, "application/json",
-                  this->forwards->counters().dump());
+                  this->tcp_forwarder->counters().dump());
           })
 {
 }
--- a/standins/src/object_api.cpp
+++ b/standins/src/object_api.cpp
@@ -13,8 +13,8 @@
 
 using nlohmann::json;
 
-constexpr std::uint64_t most_body_bytes = 4U * 1024U * 1024U;
-constexpr std::size_t most_value_bytes = 1024U * 1024U;
+constexpr std::uint64_t max_body_bytes = 4U * 1024U * 1024U;
+constexpr std::size_t max_value_bytes = 1024U * 1024U;
 constexpr std::chrono::milliseconds max_wait{60'000};
 constexpr char const* json_type = "application/json";
 
@@ -31,22 +31,22 @@
 
 } // namespace
 
-object_api::object_api(http::server_options const& options, json list)
-    : vms(std::move(list)), listener(
-                                options,
-                                [this](request& ask, response& reply)
-                                {
-                                    this->answer(ask, reply);
-                                })
+object_api::object_api(http::server_options const& options, json vm_list)
+    : vms(std::move(vm_list)), listener(
+                                   options,
+                                   [this](request& incoming, response& reply)
+                                   {
+                                       this->answer(incoming, reply);
+                                   })
 {
 }
 
-void object_api::answer(request& ask, response& reply)
+void object_api::answer(request& incoming, response& reply)
 {
-    auto const& uri = ask.getURI();
+    auto const& uri = incoming.getURI();
     if (uri == "/control")
     {
-        this->control(ask, reply);
+        this->control(incoming, reply);
         return;
     }
     if (uri == "/counters")
@@ -54,29 +54,29 @@
         this->send_counters(reply);
         return;
     }
-    faults now;
+    faults injected;
     {
         std::lock_guard const lock(this->mutex);
         ++this->counters["calls"];
-        now = this->fault;
+        injected = this->fault;
     }
-    std::this_thread::sleep_for(now.delay);
-    if (now.outage)
+    std::this_thread::sleep_for(injected.delay);
+    if (injected.outage)
     {
         http::send_text(reply, 503, json_type, "{}");
         return;
     }
-    if (!this->admit(ask))
+    if (!this->admit(incoming))
     {
         http::send_text(reply, 429, json_type, "{}");
         return;
     }
-    this->answer_call(ask, reply);
+    this->answer_call(incoming, reply);
 }
 
-bool object_api::admit(request const& ask)
+bool object_api::admit(request const& incoming)
 {
-    auto const& method = ask.getMethod();
+    auto const& method = incoming.getMethod();
     auto const writes = method == "PUT" || method == "DELETE";
     std::lock_guard const lock(this->mutex);
     auto const admitted = take(
@@ -86,21 +86,21 @@
     return admitted;
 }
 
-void object_api::answer_call(request& ask, response& reply)
+void object_api::answer_call(request& incoming, response& reply)
 {
-    auto const& uri = ask.getURI();
+    auto const& uri = incoming.getURI();
     std::string path;
     if (uri == "/vms")
     {
-        this->send_vms(ask, reply);
+        this->send_vms(incoming, reply);
     }
     else if (take_prefix(uri, "/objects/", path))
     {
-        if (ask.getMethod() == "PUT")
+        if (incoming.getMethod() == "PUT")
         {
-            this->put(path, ask, reply);
+            this->put(path, incoming, reply);
         }
-        else if (ask.getMethod() == "DELETE")
+        else if (incoming.getMethod() == "DELETE")
         {
             this->remove(path, reply);
         }
@@ -149,13 +149,14 @@
     this->send_object(found, reply);
 }
 
-void object_api::put(std::string const& path, request& ask, response& reply)
+void object_api::put(
+    std::string const& path, request& incoming, response& reply)
 {
     auto const expected =
-        std::strtoull(ask.get("If-Match", "0").c_str(), nullptr, 10);
+        std::strtoull(incoming.get("If-Match", "0").c_str(), nullptr, 10);
     std::string value;
-    if (!http::read_body(ask, most_body_bytes, value) ||
-        value.size() > most_value_bytes)
+    if (!http::read_body(incoming, max_body_bytes, value) ||
+        value.size() > max_value_bytes)
     {
         http::send_text(reply, 413, json_type, "{}");
         return;
@@ -289,10 +290,10 @@
         reply, 200, json_type, json{{"objects", std::move(found)}}.dump());
 }
 
-void object_api::send_vms(request& ask, response& reply)
+void object_api::send_vms(request& incoming, response& reply)
 {
     auto const known =
-        std::strtoull(ask.get("If-None-Match", "0").c_str(), nullptr, 10);
+        std::strtoull(incoming.get("If-None-Match", "0").c_str(), nullptr, 10);
     std::string text;
     std::uint64_t version = 0;
     {
@@ -315,10 +316,10 @@
     http::send_text(reply, 200, json_type, text);
 }
 
-void object_api::control(request& ask, response& reply)
+void object_api::control(request& incoming, response& reply)
 {
     std::string text;
-    http::read_body(ask, most_body_bytes, text);
+    http::read_body(incoming, max_body_bytes, text);
     auto const value = json::parse(text, nullptr, false);
     if (!value.is_object())
     {
@@ -335,18 +336,18 @@
 
 void object_api::change_faults(json const& value)
 {
-    auto& now = this->fault;
-    now.outage = value.value("outage", now.outage);
-    now.delay =
-        std::chrono::milliseconds(value.value("delay_ms", now.delay.count()));
-    now.lost_answers = value.value("lost_answers", now.lost_answers);
+    auto& injected = this->fault;
+    injected.outage = value.value("outage", injected.outage);
+    injected.delay = std::chrono::milliseconds(
+        value.value("delay_ms", injected.delay.count()));
+    injected.lost_answers = value.value("lost_answers", injected.lost_answers);
     this->read_rate.per_second =
         value.value("reads_per_second", this->read_rate.per_second);
     this->write_rate.per_second =
         value.value("writes_per_second", this->write_rate.per_second);
     if (value.value("compact", false))
     {
-        now.compacted = this->last_version;
+        injected.compacted = this->last_version;
     }
     if (value.contains("vms"))
     {
--- a/standins/src/origin.cpp
+++ b/standins/src/origin.cpp
@@ -12,37 +12,37 @@
 
 using nlohmann::json;
 
-constexpr std::uint64_t most_body_bytes = 64U * 1024U;
+constexpr std::uint64_t max_body_bytes = 64U * 1024U;
 constexpr char const* json_type = "application/json";
 
 } // namespace
 
 origin::origin(
     http::server_options const& options,
-    origin_options const& how,
-    std::vector<synthetic_weights> list)
-    : rate{static_cast<double>(how.bytes_per_second)},
+    origin_options const& behaviour,
+    std::vector<synthetic_weights> served_versions)
+    : rate{static_cast<double>(behaviour.bytes_per_second)},
       listener(
           options,
-          [this](request& ask, response& reply)
+          [this](request& incoming, response& reply)
           {
-              this->answer(ask, reply);
+              this->answer(incoming, reply);
           })
 {
     std::lock_guard const lock(this->mutex);
-    for (auto& version : list)
+    for (auto& version : served_versions)
     {
         auto const digest = version.digest;
         this->versions.emplace(digest, std::move(version));
     }
 }
 
-void origin::answer(request& ask, response& reply)
+void origin::answer(request& incoming, response& reply)
 {
-    auto const& uri = ask.getURI();
+    auto const& uri = incoming.getURI();
     if (uri == "/control")
     {
-        return this->control(ask, reply);
+        return this->control(incoming, reply);
     }
     if (uri == "/counters")
     {
@@ -53,14 +53,14 @@
         uri.starts_with(prefix) ? uri.substr(prefix.size()) : std::string();
     auto const digest = rest.substr(0, rest.find('/'));
     synthetic_weights const* version = nullptr;
-    auto is_out = false;
+    auto unavailable = false;
     {
         std::lock_guard const lock(this->mutex);
-        is_out = this->outage;
+        unavailable = this->outage;
         auto const found = this->versions.find(digest);
         version = found == this->versions.end() ? nullptr : &found->second;
     }
-    if (is_out)
+    if (unavailable)
     {
         return http::send_text(reply, 503, json_type, "{}");
     }
@@ -118,10 +118,10 @@
     http::send_text(reply, 200, "application/octet-stream", bytes);
 }
 
-void origin::control(request& ask, response& reply)
+void origin::control(request& incoming, response& reply)
 {
     std::string text;
-    http::read_body(ask, most_body_bytes, text);
+    http::read_body(incoming, max_body_bytes, text);
     auto const value = json::parse(text, nullptr, false);
     if (!value.is_object())
     {
--- a/standins/src/plain_service.cpp
+++ b/standins/src/plain_service.cpp
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 
-constexpr std::uint64_t most_body_bytes = 1024U * 1024U;
+constexpr std::uint64_t max_body_bytes = 1024U * 1024U;
 constexpr char const* json_type = "application/json";
 
 } // namespace
@@ -24,16 +24,16 @@
     : instance(std::move(name)), work_time(work),
       listener(
           options,
-          [this](request& ask, response& reply)
+          [this](request& incoming, response& reply)
           {
-              this->answer(ask, reply);
+              this->answer(incoming, reply);
           })
 {
 }
 
-void plain_service::answer(request& ask, response& reply)
+void plain_service::answer(request& incoming, response& reply)
 {
-    auto const& uri = ask.getURI();
+    auto const& uri = incoming.getURI();
     if (uri == "/state")
     {
         return http::send_text(
@@ -47,18 +47,18 @@
             std::lock_guard const lock(this->mutex);
             value["runs"] = this->runs;
             value["last_begin_ms"] = this->last_begin_ms;
-            value["begun"] = this->begun.to_json();
+            value["begun"] = this->starts.to_json();
         }
         return http::send_text(reply, 200, json_type, value.dump());
     }
     std::string body;
-    http::read_body(ask, most_body_bytes, body);
-    auto const id = ask.get("X-Request-Id", "none");
+    http::read_body(incoming, max_body_bytes, body);
+    auto const id = incoming.get("X-Request-Id", "none");
     {
         std::lock_guard const lock(this->mutex);
         ++this->runs[id];
         this->last_begin_ms = wall_clock_ms();
-        this->begun.add(id);
+        this->starts.add(id);
     }
     std::this_thread::sleep_for(this->work_time);
     http::send_text(
--- a/standins/src/request_start_log.cpp
+++ b/standins/src/request_start_log.cpp
@@ -1,4 +1,4 @@
-#include <standins/begun_log.hpp>
+#include <standins/request_start_log.hpp>
 
 #include <chrono>
 
@@ -12,7 +12,7 @@
 
 } // namespace
 
-void begun_log::add(std::string request)
+void request_start_log::add(std::string request)
 {
     auto const now = std::chrono::duration_cast<std::chrono::milliseconds>(
         std::chrono::system_clock::now().time_since_epoch());
@@ -23,14 +23,14 @@
     }
 }
 
-nlohmann::json begun_log::to_json() const
+nlohmann::json request_start_log::to_json() const
 {
-    auto list = nlohmann::json::array();
-    for (auto const& begun : this->entries)
+    auto starts = nlohmann::json::array();
+    for (auto const& start : this->entries)
     {
-        list.push_back({begun.when_ms, begun.request});
+        starts.push_back({start.when_ms, start.request});
     }
-    return list;
+    return starts;
 }
 
 } // namespace foxtailvale::standins
--- a/standins/src/standin_settings.cpp
+++ b/standins/src/standin_settings.cpp
@@ -12,10 +12,10 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-constexpr std::uint64_t most_bytes = 1ULL << 34U;
-constexpr std::uint64_t most_rate = 1ULL << 40U;
-constexpr milliseconds most_time{600'000};
-// Long streams and waiting watches hold a thread each.
+constexpr std::uint64_t max_bytes = 1ULL << 34U;
+constexpr std::uint64_t max_rate = 1ULL << 40U;
+constexpr milliseconds max_time{600'000};
+// Each long stream and each waiting watch occupies a thread.
 constexpr std::uint16_t server_threads = 512;
 
 http::server_options read_listen(object_reader& reader)
@@ -44,13 +44,13 @@
     origin_settings settings;
     settings.listen = read_listen(reader);
     settings.behaviour.bytes_per_second =
-        reader.number_or("bytes_per_second", 0, 0, most_rate);
+        reader.number_or("bytes_per_second", 0, 0, max_rate);
     for (std::size_t index = 0; index < reader.size("versions"); ++index)
     {
         auto entry = reader.element("versions", index);
         settings.versions.push_back(
-            {entry.number("seed", 0, most_rate),
-             entry.number("bytes", 1, most_bytes),
+            {entry.number("seed", 0, max_rate),
+             entry.number("bytes", 1, max_bytes),
              static_cast<std::uint32_t>(
                  entry.number("chunk_bytes", 1024, 1U << 30U))});
         entry.finish();
@@ -63,7 +63,7 @@
     object_reader& reader, std::string_view key, microseconds fallback)
 {
     return microseconds(reader.number_or(
-        key, static_cast<std::uint64_t>(fallback.count()), 0, most_rate));
+        key, static_cast<std::uint64_t>(fallback.count()), 0, max_rate));
 }
 
 std::uint32_t
@@ -77,18 +77,21 @@
 {
     engine_settings settings;
     settings.listen = read_listen(reader);
-    auto& how = settings.behaviour;
-    how.name = reader.text("name");
-    how.slots = read_count(reader, "slots", how.slots);
-    how.cold_bears = read_count(reader, "cold_bears", how.cold_bears);
-    how.warm_after = read_count(reader, "warm_after", how.warm_after);
-    how.first_token =
-        read_microseconds(reader, "first_token_us", how.first_token);
-    how.token_interval =
-        read_microseconds(reader, "token_interval_us", how.token_interval);
-    how.checks_fencing = reader.flag_or("checks_fencing", how.checks_fencing);
-    how.cached_prefixes =
-        read_count(reader, "cached_prefixes", how.cached_prefixes);
+    auto& behaviour = settings.behaviour;
+    behaviour.name = reader.text("name");
+    behaviour.slots = read_count(reader, "slots", behaviour.slots);
+    behaviour.cold_capacity =
+        read_count(reader, "cold_bears", behaviour.cold_capacity);
+    behaviour.warm_after =
+        read_count(reader, "warm_after", behaviour.warm_after);
+    behaviour.first_token =
+        read_microseconds(reader, "first_token_us", behaviour.first_token);
+    behaviour.token_interval = read_microseconds(
+        reader, "token_interval_us", behaviour.token_interval);
+    behaviour.checks_fencing =
+        reader.flag_or("checks_fencing", behaviour.checks_fencing);
+    behaviour.cached_prefixes =
+        read_count(reader, "cached_prefixes", behaviour.cached_prefixes);
     reader.finish();
     return settings;
 }
@@ -99,7 +102,7 @@
     settings.listen = read_listen(reader);
     settings.name = reader.text("name");
     settings.work = reader.milliseconds_or(
-        "work_ms", milliseconds(10), milliseconds(0), most_time);
+        "work_ms", milliseconds(10), milliseconds(0), max_time);
     reader.finish();
     return settings;
 }
@@ -127,7 +130,7 @@
     settings.link.latency =
         read_microseconds(reader, "latency_us", microseconds(0));
     settings.link.bits_per_second =
-        reader.number_or("bits_per_second", 0, 0, most_rate);
+        reader.number_or("bits_per_second", 0, 0, max_rate);
     for (std::size_t index = 0; index < reader.size("routes"); ++index)
     {
         settings.link.routes.push_back(
--- a/standins/src/standins.cpp
+++ b/standins/src/standins.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-// Everything that runs; ends with it.
+// Owns all running stand-ins; destroying it stops them.
 struct running_standins
 {
     std::unique_ptr<object_api> platform;
@@ -73,8 +73,8 @@
     std::cout << "ready" << std::endl;
     int received = 0;
     sigwait(&signals, &received);
-    // Connections that wait for a long answer would hold up an orderly end;
-    // a stand-in has nothing to lose.
+    // Exit without destructors: connections that wait for a long answer would
+    // delay an orderly shutdown, and a stand-in has no state to save.
     std::_Exit(EXIT_SUCCESS);
 }
 
--- a/standins/src/synthetic.cpp
+++ b/standins/src/synthetic.cpp
@@ -11,20 +11,21 @@
 synthetic_weights make_weights(
     std::uint64_t seed, std::uint64_t total_bytes, std::uint32_t chunk_bytes)
 {
-    synthetic_weights made;
-    made.bytes.resize(total_bytes);
+    synthetic_weights result;
+    result.bytes.resize(total_bytes);
     base::random_state random{seed};
-    for (std::uint64_t at = 0; at < total_bytes; at += sizeof(std::uint64_t))
+    for (std::uint64_t offset = 0; offset < total_bytes;
+         offset += sizeof(std::uint64_t))
     {
         auto const word = base::next_random(random);
         auto const size =
-            std::min<std::uint64_t>(sizeof word, total_bytes - at);
-        std::memcpy(made.bytes.data() + at, &word, size);
+            std::min<std::uint64_t>(sizeof word, total_bytes - offset);
+        std::memcpy(result.bytes.data() + offset, &word, size);
     }
-    made.description = weights::describe_weights(made.bytes, chunk_bytes);
-    made.manifest_text = weights::to_text(made.description);
-    made.digest = base::sha256_hex(made.manifest_text);
-    return made;
+    result.description = weights::describe_weights(result.bytes, chunk_bytes);
+    result.manifest_text = weights::to_text(result.description);
+    result.digest = base::sha256_hex(result.manifest_text);
+    return result;
 }
 
 std::string answer_token(
--- a/standins/tests/object_api_tests.cpp
+++ b/standins/tests/object_api_tests.cpp
@@ -19,31 +19,31 @@
 
 std::uint32_t put(std::string const& expected, std::string const& value)
 {
-    http::request ask;
-    ask.base = base_address();
-    ask.method = "PUT";
-    ask.path = "/objects/a";
-    ask.headers["If-Match"] = expected;
-    ask.body = value;
-    return http::call(ask).value().status;
+    http::request outgoing;
+    outgoing.base = base_address();
+    outgoing.method = "PUT";
+    outgoing.path = "/objects/a";
+    outgoing.headers["If-Match"] = expected;
+    outgoing.body = value;
+    return http::call(outgoing).value().status;
 }
 
 void control(std::string const& switches)
 {
-    http::request ask;
-    ask.base = base_address();
-    ask.method = "POST";
-    ask.path = "/control";
-    ask.body = switches;
-    EXPECT_EQ(http::call(ask).value().status, 200U);
+    http::request outgoing;
+    outgoing.base = base_address();
+    outgoing.method = "POST";
+    outgoing.path = "/control";
+    outgoing.body = switches;
+    EXPECT_EQ(http::call(outgoing).value().status, 200U);
 }
 
 std::uint32_t get(std::string const& path)
 {
-    http::request ask;
-    ask.base = base_address();
-    ask.path = path;
-    return http::call(ask).value().status;
+    http::request outgoing;
+    outgoing.base = base_address();
+    outgoing.path = path;
+    return http::call(outgoing).value().status;
 }
 
 } // namespace
@@ -55,10 +55,10 @@
     EXPECT_EQ(put("0", "two"), 412U);
     control(R"({"lost_answers": 1})");
     EXPECT_EQ(put("1", "three"), 503U);
-    http::request ask;
-    ask.base = base_address();
-    ask.path = "/objects/a";
-    EXPECT_EQ(http::call(ask).value().body, "three");
+    http::request outgoing;
+    outgoing.base = base_address();
+    outgoing.path = "/objects/a";
+    EXPECT_EQ(http::call(outgoing).value().body, "three");
 }
 
 TEST(object_api, refuses_values_over_a_megabyte)
@@ -80,7 +80,8 @@
     EXPECT_EQ(get("/watch/a?after=2&wait_ms=0"), 204U);
 }
 
-// One read in a hundred seconds: the first is admitted only after that long.
+// At 0.01 calls per second the first call is admitted after 100 seconds, so
+// each call in this test is over the limit.
 TEST(object_api, refuses_calls_over_its_rates)
 {
     object_api api({testing::own_address(), port, 8}, nlohmann::json::array());
