--- a/fuzz/src/choices.hpp
+++ b/fuzz/src/choices.hpp
@@ -9,8 +9,8 @@
 namespace foxtailvale::fuzz
 {
 
-// Bytes read as small choices, one byte each, so that a mutated byte changes
-// one choice.
+// Decodes fuzzer input as a sequence of small choices, one byte each, so that
+// mutating a byte changes a single choice.
 class choices
 {
 public:
@@ -23,7 +23,8 @@
         return this->bytes.empty();
     }
 
-    // Below the bound, which must not be zero; 0 when all bytes are used up.
+    // Consumes a byte and returns a number below the bound, which must not be
+    // zero. Returns 0 when the input is exhausted.
     std::uint64_t below(std::uint64_t bound)
     {
         if (this->bytes.empty())
@@ -35,10 +36,10 @@
         return byte % bound;
     }
 
-    // Up to so many of the next bytes.
-    std::string rest(std::size_t most)
+    // Consumes and returns up to `limit` of the remaining bytes.
+    std::string rest(std::size_t limit)
     {
-        auto const taken = std::min(most, this->bytes.size());
+        auto const taken = std::min(limit, this->bytes.size());
         std::string text(this->bytes.substr(0, taken));
         this->bytes.remove_prefix(taken);
         return text;
--- a/fuzz/src/core_targets.cpp
+++ b/fuzz/src/core_targets.cpp
@@ -62,36 +62,38 @@
     return agent;
 }
 
-// What must hold for a caller whatever happens behind the entry.
-struct caller_watch
+// What the harness has observed of one caller's request, to check the
+// invariants that hold whatever happens behind the entry.
+struct caller_record
 {
     bool idempotent = false;
-    // Runs sent that have not been shown as not run.
+    // Runs that were sent and may have been executed.
     std::uint32_t possible_runs = 0;
     bool ended = false;
 };
 
-// Drives an entry's core and watches what its callers see.
+// Feeds events to an entry's core and checks its replies to callers.
 class entry_harness
 {
 public:
-    explicit entry_harness(choices& input) : choose(input), core(make_entry())
+    explicit entry_harness(choices& input)
+        : input_choices(input), core(make_entry())
     {
     }
 
     void run()
     {
-        while (!this->choose.done())
+        while (!this->input_choices.done())
         {
-            this->now += milliseconds(this->choose.below(200));
-            this->one_event();
+            this->now += milliseconds(this->input_choices.below(200));
+            this->apply_event();
         }
     }
 
 private:
-    void one_event()
+    void apply_event()
     {
-        switch (this->choose.below(6))
+        switch (this->input_choices.below(6))
         {
         case 0:
             return this->request();
@@ -100,11 +102,11 @@
         case 2:
             return this->answer();
         case 3:
-            return this->lose();
+            return this->fail_send();
         case 4:
             return this->platform();
         default:
-            return this->leave();
+            return this->disconnect_caller();
         }
     }
 
@@ -114,12 +116,12 @@
         request.caller = ++this->last_caller;
         request.request_id = std::to_string(request.caller);
         request.workspace = "split";
-        auto const chat = this->choose.below(2) == 0;
+        auto const chat = this->input_choices.below(2) == 0;
         (chat ? request.model : request.service) =
             chat ? "assistant" : "booking";
         request.method = "POST";
-        request.time_left = milliseconds(1 + this->choose.below(2000));
-        this->watches[request.caller].idempotent = chat;
+        request.time_left = milliseconds(1 + this->input_choices.below(2000));
+        this->callers[request.caller].idempotent = chat;
         this->step(request);
     }
 
@@ -129,27 +131,28 @@
         {
             return;
         }
-        auto const index = this->choose.below(this->sent.size());
+        auto const index = this->input_choices.below(this->sent.size());
         auto const& run = this->sent[index];
         core::message_received message{run.peer, {}};
         auto& output = *message.envelope.mutable_run_output();
         *output.mutable_attempt() = run.envelope.run().attempt();
         output.set_status(200);
-        output.set_sequence(static_cast<std::uint32_t>(this->choose.below(3)));
-        output.set_last(this->choose.below(2) == 0);
+        output.set_sequence(
+            static_cast<std::uint32_t>(this->input_choices.below(3)));
+        output.set_last(this->input_choices.below(2) == 0);
         constexpr char const* errors[] = {
             "", "", "endpoint_full", "endpoint_lost", "version_mismatch"};
-        auto const* const error = errors[this->choose.below(5)];
+        auto const* const error = errors[this->input_choices.below(5)];
         output.set_error(error);
         auto const kind = base::kind_named(error);
         if (*error != '\0' && base::row_of(kind).ran == base::ran_state::no)
         {
-            this->shown_not_run(run);
+            this->record_not_run(run);
         }
         this->step(message);
     }
 
-    void lose()
+    void fail_send()
     {
         if (this->sent.empty())
         {
@@ -157,32 +160,32 @@
         }
         auto const run = this->sent.back();
         this->sent.pop_back();
-        this->shown_not_run(run);
+        this->record_not_run(run);
         this->step(core::send_failed{run.peer, run.envelope});
     }
 
-    void shown_not_run(core::send_message const& run)
+    void record_not_run(core::send_message const& run)
     {
         auto const caller =
             std::strtoull(run.envelope.run().request_id().c_str(), nullptr, 10);
-        auto& watch = this->watches[caller];
-        watch.possible_runs -= watch.possible_runs > 0 ? 1 : 0;
+        auto& record = this->callers[caller];
+        record.possible_runs -= record.possible_runs > 0 ? 1 : 0;
     }
 
     void platform()
     {
         core::platform_answer answer;
-        answer.id = this->choose.below(40);
-        answer.ok = this->choose.below(2) == 0;
-        answer.version = this->choose.below(100);
-        answer.value = this->choose.rest(60);
+        answer.id = this->input_choices.below(40);
+        answer.ok = this->input_choices.below(2) == 0;
+        answer.version = this->input_choices.below(100);
+        answer.value = this->input_choices.rest(60);
         this->step(answer);
     }
 
-    void leave()
+    void disconnect_caller()
     {
-        auto const caller = this->choose.below(this->last_caller + 1);
-        this->watches[caller].ended = true;
+        auto const caller = this->input_choices.below(this->last_caller + 1);
+        this->callers[caller].ended = true;
         this->step(entry_core::caller_disconnected{caller});
     }
 
@@ -194,22 +197,22 @@
             if (auto const* const out =
                     std::get_if<core::send_message>(&action))
             {
-                this->note_sent(*out);
+                this->record_sent(*out);
             }
             if (auto const* const piece =
                     std::get_if<entry_core::reply>(&action))
             {
-                this->note_reply(piece->caller, piece->last);
+                this->record_reply(piece->caller, piece->last);
             }
             if (auto const* const end =
                     std::get_if<entry_core::refuse>(&action))
             {
-                this->note_reply(end->caller, true);
+                this->record_reply(end->caller, true);
             }
         }
     }
 
-    void note_sent(core::send_message const& out)
+    void record_sent(core::send_message const& out)
     {
         if (!out.envelope.has_run())
         {
@@ -218,42 +221,44 @@
         this->sent.push_back(out);
         auto const caller =
             std::strtoull(out.envelope.run().request_id().c_str(), nullptr, 10);
-        auto& watch = this->watches[caller];
-        ++watch.possible_runs;
-        // A booking goes out again only when it certainly was not run.
-        require(watch.idempotent || watch.possible_runs <= 1);
+        auto& record = this->callers[caller];
+        ++record.possible_runs;
+        // A booking is not idempotent: it is sent again only after the earlier
+        // run is known not to have been executed.
+        require(record.idempotent || record.possible_runs <= 1);
     }
 
-    // Nothing reaches a caller after its end, and it ends once.
-    void note_reply(std::uint64_t caller, bool last)
+    // A request ends exactly once, and the caller gets no reply afterwards.
+    void record_reply(std::uint64_t caller, bool last)
     {
-        auto& watch = this->watches[caller];
-        require(!watch.ended);
-        watch.ended = last;
+        auto& record = this->callers[caller];
+        require(!record.ended);
+        record.ended = last;
     }
 
-    choices& choose;
+    choices& input_choices;
     entry_core::state core;
     base::time_point now{std::chrono::hours(1)};
     std::uint64_t last_caller = 0;
     std::vector<core::send_message> sent;
-    std::map<std::uint64_t, caller_watch> watches;
+    std::map<std::uint64_t, caller_record> callers;
 };
 
-// Drives an agent's core and watches its endpoint.
+// Feeds events to an agent's core and checks the work that it starts.
 class agent_harness
 {
 public:
-    explicit agent_harness(choices& input) : choose(input), core(make_agent())
+    explicit agent_harness(choices& input)
+        : input_choices(input), core(make_agent())
     {
     }
 
     void run()
     {
-        while (!this->choose.done())
+        while (!this->input_choices.done())
         {
-            this->now += milliseconds(this->choose.below(200));
-            this->one_event();
+            this->now += milliseconds(this->input_choices.below(200));
+            this->apply_event();
             require(
                 this->core.requests.gate.running.size() <=
                 this->core.requests.gate.warm_limit);
@@ -261,20 +266,20 @@
     }
 
 private:
-    void one_event()
+    void apply_event()
     {
-        switch (this->choose.below(6))
+        switch (this->input_choices.below(6))
         {
         case 0:
-            return this->ask();
+            return this->receive_run();
         case 1:
             return this->step(core::tick{});
         case 2:
-            return this->work();
+            return this->receive_output();
         case 3:
-            return this->report();
+            return this->report_endpoint();
         case 4:
-            return this->push();
+            return this->push_configuration();
         default:
             return this->cancel();
         }
@@ -284,29 +289,29 @@
     {
         wire::AttemptId id;
         id.set_high(1);
-        id.set_low(this->choose.below(20));
+        id.set_low(this->input_choices.below(20));
         return id;
     }
 
-    void ask()
+    void receive_run()
     {
         core::message_received message{"entry-1", {}};
         auto& run = *message.envelope.mutable_run();
         *run.mutable_attempt() = this->attempt();
         run.mutable_target()->set_model("assistant");
         run.mutable_target()->set_digest(
-            this->choose.below(4) == 0 ? "d2" : digest);
+            this->input_choices.below(4) == 0 ? "d2" : digest);
         run.set_time_left_ms(1000);
         this->step(message);
     }
 
-    void work()
+    void receive_output()
     {
         agent_core::work_output output;
         output.attempt = core::from_wire(this->attempt());
         output.status = 200;
-        output.last = this->choose.below(2) == 0;
-        if (this->choose.below(4) == 0)
+        output.last = this->input_choices.below(2) == 0;
+        if (this->input_choices.below(4) == 0)
         {
             output.last = true;
             output.failure = base::error{base::error_kind::endpoint_lost, {}};
@@ -318,29 +323,30 @@
         this->step(output);
     }
 
-    void report()
+    void report_endpoint()
     {
         agent_core::endpoint_report report;
-        report.reachable = this->choose.below(4) != 0;
-        report.instance = "engine/" + std::to_string(this->choose.below(3));
-        report.cold = this->choose.below(2) == 0;
-        if (this->choose.below(3) != 0)
+        report.reachable = this->input_choices.below(4) != 0;
+        report.instance =
+            "engine/" + std::to_string(this->input_choices.below(3));
+        report.cold = this->input_choices.below(2) == 0;
+        if (this->input_choices.below(3) != 0)
         {
             report.loaded.push_back({"assistant", digest});
         }
         this->step(report);
     }
 
-    void push()
+    void push_configuration()
     {
         core::message_received message{"entry-1", {}};
         auto& push = *message.envelope.mutable_configuration_push();
-        push.set_generation(this->choose.below(5));
+        push.set_generation(this->input_choices.below(5));
         release::configuration configuration;
         configuration.generation = push.generation();
         configuration.models["assistant"].digest = digest;
         configuration.models["assistant"].limit =
-            static_cast<std::uint32_t>(1 + this->choose.below(8));
+            static_cast<std::uint32_t>(1 + this->input_choices.below(8));
         push.set_document(to_text(configuration));
         auto const before = this->core.control.configuration.generation;
         this->step(message);
@@ -363,14 +369,15 @@
                 std::get_if<agent_core::start_work>(&action);
             if (start != nullptr)
             {
-                // The endpoint never runs one attempt twice at a time.
+                // The endpoint never runs the same attempt twice
+                // concurrently.
                 require(this->running.insert(start->attempt).second);
                 require(start->run.target().digest() == digest);
             }
         }
     }
 
-    choices& choose;
+    choices& input_choices;
     agent_core::state core;
     base::time_point now{std::chrono::hours(1)};
     std::set<base::attempt_id> running;
--- a/fuzz/src/document_targets.cpp
+++ b/fuzz/src/document_targets.cpp
@@ -11,15 +11,15 @@
 namespace
 {
 
-release::configuration some_configuration()
+release::configuration base_configuration()
 {
-    release::configuration made;
-    made.generation = 1;
-    made.domains["split-a"].region = "dalmacija";
-    made.models["assistant"].digest = std::string(64, 'a');
-    made.services["booking"] = {};
-    made.workspaces["split"] = {};
-    return made;
+    release::configuration result;
+    result.generation = 1;
+    result.domains["split-a"].region = "dalmacija";
+    result.models["assistant"].digest = std::string(64, 'a');
+    result.services["booking"] = {};
+    result.workspaces["split"] = {};
+    return result;
 }
 
 } // namespace
@@ -28,17 +28,18 @@
 {
     auto source = release::parse_document("note", bytes);
     auto const note = release::read_release_note(source);
-    auto const next = release::apply_note(some_configuration(), note, source);
+    auto const next = release::apply_note(base_configuration(), note, source);
     if (!source.faults.empty())
     {
-        // Each fault can be told.
+        // Every rejected note must have a description of its faults.
         if (release::describe(source, source.faults).empty())
         {
             std::abort();
         }
         return;
     }
-    // What is accepted is stored and must read back as it was.
+    // An accepted configuration is stored, so it must survive a round trip
+    // through its text form.
     auto const read = release::parse_configuration(to_text(next));
     if (!read || !(read.value() == next))
     {
--- a/fuzz/src/driver.cpp
+++ b/fuzz/src/driver.cpp
@@ -3,12 +3,12 @@
 #include <cstddef>
 #include <cstdint>
 
-// The build says which target; this one stands in for editors and linters.
+// The build defines the target; this default is for editors and linters.
 #ifndef FOXTAILVALE_FUZZ_TARGET
 #define FOXTAILVALE_FUZZ_TARGET release_note
 #endif
 
-// libFuzzer's entry point; the name is its own.
+// libFuzzer requires this name for its entry point.
 // NOLINTBEGIN(readability-identifier-naming)
 extern "C" int
 LLVMFuzzerTestOneInput(std::uint8_t const* data, std::size_t size)
--- a/fuzz/src/targets.hpp
+++ b/fuzz/src/targets.hpp
@@ -5,28 +5,30 @@
 #include <string_view>
 #include <vector>
 
-// Functions that take any bytes. They end the process when something breaks
-// that must hold for any bytes.
+// Fuzz targets. Each accepts arbitrary bytes and aborts the process when an
+// invariant is violated.
 namespace foxtailvale::fuzz
 {
 
-// Reads, checks and applies a release note.
+// Parses, validates and applies a release note.
 void release_note(std::string_view bytes);
 
-// Reads an entry's and an agent's settings.
+// Parses the bytes as settings of an entry and of an agent.
 void settings(std::string_view bytes);
 
-// Takes the bytes as one frame from a known peer into both cores.
+// Parses the bytes as one frame from a known peer and passes it to the cores
+// of an entry and an agent.
 void frame(std::string_view bytes);
 
-// Takes the bytes as a sequence of small choices: requests, answers, ticks,
-// platform answers, and broken answers into an entry's core.
+// Decodes the bytes as a sequence of events for an entry's core: requests,
+// ticks, answers and errors of endpoints, failed sends, platform answers and
+// disconnects of callers.
 void entry_events(std::string_view bytes);
 
-// The same for an agent's core.
+// Decodes the bytes as a sequence of events for an agent's core.
 void agent_events(std::string_view bytes);
 
-// Inputs from which mutations start.
+// Seed inputs for mutation.
 std::vector<std::string> release_note_seeds();
 std::vector<std::string> settings_seeds();
 std::vector<std::string> frame_seeds();
--- a/fuzz/tests/fuzz_tests.cpp
+++ b/fuzz/tests/fuzz_tests.cpp
@@ -10,14 +10,14 @@
 namespace
 {
 
-constexpr std::uint32_t turns = 3000;
+constexpr std::uint32_t iterations = 3000;
 constexpr std::uint64_t seed = 20260301;
-constexpr std::uint64_t most_changes = 6;
-constexpr std::uint64_t most_choices = 400;
+constexpr std::uint64_t max_changes = 6;
+constexpr std::uint64_t input_bytes_bound = 400;
 
-std::string random_bytes(base::random_state& random, std::uint64_t most)
+std::string random_bytes(base::random_state& random, std::uint64_t bound)
 {
-    std::string bytes(base::random_below(random, most), '\0');
+    std::string bytes(base::random_below(random, bound), '\0');
     for (auto& byte : bytes)
     {
         byte = static_cast<char>(base::random_below(random, 256));
@@ -25,7 +25,7 @@
     return bytes;
 }
 
-void change(std::string& bytes, base::random_state& random)
+void mutate(std::string& bytes, base::random_state& random)
 {
     auto const at = base::random_below(random, bytes.size() + 1);
     switch (base::random_below(random, 4))
@@ -55,13 +55,13 @@
     {
         target(input);
     }
-    for (std::uint32_t turn = 0; turn < turns; ++turn)
+    for (std::uint32_t iteration = 0; iteration < iterations; ++iteration)
     {
         auto input = seeds[base::random_below(random, seeds.size())];
-        auto const changes = 1 + base::random_below(random, most_changes);
+        auto const changes = 1 + base::random_below(random, max_changes);
         for (std::uint64_t done = 0; done < changes; ++done)
         {
-            change(input, random);
+            mutate(input, random);
         }
         target(input);
     }
@@ -71,15 +71,15 @@
 void run_random(Target target)
 {
     base::random_state random{seed};
-    for (std::uint32_t turn = 0; turn < turns; ++turn)
+    for (std::uint32_t iteration = 0; iteration < iterations; ++iteration)
     {
-        target(random_bytes(random, most_choices));
+        target(random_bytes(random, input_bytes_bound));
     }
 }
 
 } // namespace
 
-// Each of these ends the process when something breaks.
+// A violated invariant in a target aborts the process and so fails the test.
 TEST(fuzz, release_notes)
 {
     run_mutated(release_note_seeds(), release_note);
