--- a/benchmarks/capacity/src/agent_slopes.cpp
+++ b/benchmarks/capacity/src/agent_slopes.cpp
@@ -22,12 +22,12 @@
 constexpr std::uint32_t measured_requests = 2000;
 constexpr std::uint32_t tokens_per_request = 20;
 
-// An agent's core before made-up entries and an engine.
-class agent_rig
+// An agent's core with simulated entries and a simulated engine.
+class agent_harness
 {
 public:
-    agent_rig(fleet_shape const& fleet, std::uint32_t listeners)
-        : shape(fleet), entries(listeners), heap_before(heap_bytes())
+    agent_harness(fleet_shape const& fleet, std::uint32_t connected_entries)
+        : shape(fleet), entries(connected_entries), heap_before(heap_bytes())
     {
         this->core.self = {
             agent_name(fleet, 0), domain_name(0), "region-0", ""};
@@ -44,26 +44,26 @@
         for (std::int64_t count = 0; count < length / tick_interval; ++count)
         {
             this->now += tick_interval;
-            this->take("tick", core::tick{});
-            this->say_hello();
+            this->apply("tick", core::tick{});
+            this->send_hellos();
             ++this->tick;
         }
     }
 
     void reset()
     {
-        this->spent.clear();
+        this->step_costs.clear();
         this->sent_bytes = 0;
         this->sent_frames = 0;
         this->received_bytes = 0;
     }
 
     std::vector<agent_core::action>
-    take(std::string const& kind, agent_core::event const& event)
+    apply(std::string const& kind, agent_core::event const& event)
     {
         auto const start = thread_processor_time();
         auto actions = agent_core::step(this->core, event, this->now);
-        auto& cost = this->spent[kind];
+        auto& cost = this->step_costs[kind];
         cost.time += thread_processor_time() - start;
         ++cost.count;
         for (auto const& action : actions)
@@ -73,7 +73,7 @@
             {
                 ++this->sent_frames;
                 this->sent_bytes += out->envelope.ByteSizeLong();
-                this->note_size(out->envelope);
+                this->record_size(out->envelope);
             }
         }
         return actions;
@@ -91,7 +91,7 @@
         run.set_stream(true);
         run.set_body(std::string(2000, 'p'));
         run.set_time_left_ms(60'000);
-        this->take("run", message);
+        this->apply("run", message);
         agent_core::work_output piece;
         piece.attempt = core::from_wire(run.attempt());
         piece.status = 200;
@@ -100,7 +100,7 @@
         for (std::uint32_t token = 0; token < tokens_per_request; ++token)
         {
             piece.last = token + 1 == tokens_per_request;
-            this->take("token", piece);
+            this->apply("token", piece);
         }
     }
 
@@ -109,14 +109,14 @@
         return heap_bytes() - this->heap_before;
     }
 
-    costs spent;
+    costs step_costs;
     std::uint64_t sent_bytes = 0;
     std::uint64_t sent_frames = 0;
     std::uint64_t received_bytes = 0;
     std::uint64_t heartbeat_bytes = 0;
 
 private:
-    void note_size(wire::Envelope const& envelope)
+    void record_size(wire::Envelope const& envelope)
     {
         if (envelope.has_heartbeat())
         {
@@ -127,7 +127,7 @@
     void receive(std::string const& kind, core::message_received const& message)
     {
         this->received_bytes += message.envelope.ByteSizeLong();
-        this->take(kind, message);
+        this->apply(kind, message);
     }
 
     void push_configuration()
@@ -153,17 +153,17 @@
         }
     }
 
-    // The engine serves the first model.
+    // Reports an engine that serves the first model.
     void report()
     {
         agent_core::endpoint_report report;
         report.reachable = true;
         report.instance = "engine/1";
         report.loaded.push_back({model_name(0), digest_of(0)});
-        this->take("endpoint_report", report);
+        this->apply("endpoint_report", report);
     }
 
-    void say_hello()
+    void send_hellos()
     {
         for (auto number = this->tick % ticks_per_second;
              number < this->entries; number += ticks_per_second)
@@ -190,15 +190,15 @@
 } // namespace
 
 void measure_agent(
-    std::uint32_t endpoints, std::uint32_t listeners, samples& into)
+    std::uint32_t endpoints, std::uint32_t connected_entries, samples& into)
 {
-    agent_rig rig(shape_of(endpoints), listeners);
-    rig.run(settle_time);
-    rig.reset();
-    rig.run(measured_time);
+    agent_harness harness(shape_of(endpoints), connected_entries);
+    harness.run(settle_time);
+    harness.reset();
+    harness.run(measured_time);
     auto const length = static_cast<double>(measured_time.count());
     double total = 0;
-    for (auto const& [kind, cost] : rig.spent)
+    for (auto const& [kind, cost] : harness.step_costs)
     {
         into.push_back(
             {"agent.step." + kind + ".us", endpoints, mean_us(cost),
@@ -210,38 +210,40 @@
          "% of a core"});
     into.push_back(
         {"agent.control.sent_bytes", endpoints,
-         static_cast<double>(rig.sent_bytes) / length, "B/s"});
+         static_cast<double>(harness.sent_bytes) / length, "B/s"});
     into.push_back(
         {"agent.control.sent_frames", endpoints,
-         static_cast<double>(rig.sent_frames) / length, "frames/s"});
+         static_cast<double>(harness.sent_frames) / length, "frames/s"});
     into.push_back(
         {"agent.control.received_bytes", endpoints,
-         static_cast<double>(rig.received_bytes) / length, "B/s"});
+         static_cast<double>(harness.received_bytes) / length, "B/s"});
     into.push_back(
-        {"agent.listeners", endpoints, static_cast<double>(listeners),
+        {"agent.listeners", endpoints, static_cast<double>(connected_entries),
          "entries"});
     into.push_back(
-        {"agent.state.bytes", endpoints, static_cast<double>(rig.state_bytes()),
-         "B"});
+        {"agent.state.bytes", endpoints,
+         static_cast<double>(harness.state_bytes()), "B"});
     into.push_back(
         {"message.heartbeat", endpoints,
-         static_cast<double>(rig.heartbeat_bytes), "B"});
-    rig.reset();
+         static_cast<double>(harness.heartbeat_bytes), "B"});
+    harness.reset();
     for (std::uint64_t number = 1; number <= measured_requests; ++number)
     {
-        rig.run_request(number);
+        harness.run_request(number);
     }
-    // A refused request sends one frame, an answered one a frame per token.
+    // A refused request produces one frame, an answered request one frame per
+    // token.
     auto const expected = std::uint64_t{measured_requests} * tokens_per_request;
     into.push_back(
         {"agent.requests.frames_missing", endpoints,
-         static_cast<double>(expected) - static_cast<double>(rig.sent_frames),
+         static_cast<double>(expected) -
+             static_cast<double>(harness.sent_frames),
          "of " + std::to_string(expected)});
     for (auto const* const kind : {"run", "token"})
     {
         into.push_back(
             {std::string("agent.step.") + kind + ".us", endpoints,
-             mean_us(rig.spent[kind]), "us/event"});
+             mean_us(harness.step_costs[kind]), "us/event"});
     }
 }
 
--- a/benchmarks/capacity/src/agent_slopes.hpp
+++ b/benchmarks/capacity/src/agent_slopes.hpp
@@ -6,10 +6,10 @@
 namespace foxtailvale::capacity
 {
 
-// Measures an agent's core in a fleet of so many endpoints that so many
-// entries speak to, in virtual time.
+// Measures an agent's core in virtual time: in a fleet of `endpoints`
+// endpoints, with `connected_entries` entries in contact with the agent.
 void measure_agent(
-    std::uint32_t endpoints, std::uint32_t listeners, samples& into);
+    std::uint32_t endpoints, std::uint32_t connected_entries, samples& into);
 
 } // namespace foxtailvale::capacity
 
--- a/benchmarks/capacity/src/entry_slopes.cpp
+++ b/benchmarks/capacity/src/entry_slopes.cpp
@@ -26,21 +26,21 @@
 constexpr std::uint32_t tokens_per_request = 20;
 constexpr std::uint32_t open_requests = 500;
 constexpr std::size_t prompt_bytes = 2000;
-// Engine limit in the made-up heartbeats.
+// Engine limit in the simulated heartbeats.
 constexpr std::uint32_t engine_limit = 64;
 
-// Frames of one kind.
+// Frames sent or received, and their bytes.
 struct traffic
 {
     std::uint64_t frames = 0;
     std::uint64_t bytes = 0;
 };
 
-// An entry's core before a fake platform and made-up agents.
-class entry_rig
+// An entry's core with a fake platform and simulated agents.
+class entry_harness
 {
 public:
-    entry_rig(fleet_shape const& fleet, bool planner)
+    entry_harness(fleet_shape const& fleet, bool planner)
         : shape(fleet), platform(make_vm_list(fleet)), holds_lease(planner)
     {
         for (std::uint32_t domain = 0; domain < fleet.domains; ++domain)
@@ -65,20 +65,20 @@
         {
             this->now += tick_interval;
             this->renew_foreign_lease();
-            this->take("tick", core::tick{});
-            for (auto const& answer : this->platform.answers(this->now))
+            this->apply("tick", core::tick{});
+            for (auto const& answer : this->platform.take_answers(this->now))
             {
-                this->take("platform_answer", answer);
+                this->apply("platform_answer", answer);
             }
             this->send_heartbeats();
             ++this->tick;
         }
     }
 
-    // Forgets what has been counted so far.
+    // Resets the costs and counters.
     void reset()
     {
-        this->spent.clear();
+        this->step_costs.clear();
         this->sent = {};
         this->received = {};
         this->calls_before = this->platform.calls();
@@ -86,16 +86,16 @@
     }
 
     std::vector<entry_core::action>
-    take(std::string const& kind, entry_core::event const& event)
+    apply(std::string const& kind, entry_core::event const& event)
     {
         auto const start = thread_processor_time();
         auto actions = entry_core::step(this->core, event, this->now);
-        auto& cost = this->spent[kind];
+        auto& cost = this->step_costs[kind];
         cost.time += thread_processor_time() - start;
         ++cost.count;
         for (auto const& action : actions)
         {
-            this->carry_out(action);
+            this->execute(action);
         }
         return actions;
     }
@@ -125,18 +125,18 @@
             to_text(make_configuration(this->shape, generation)));
     }
 
-    costs spent;
+    costs step_costs;
     traffic sent;
     traffic received;
-    // Agents that this entry has spoken to, by number.
+    // Names of the agents that this entry has contacted.
     std::set<std::string> contacts;
 
 private:
-    void carry_out(entry_core::action const& action)
+    void execute(entry_core::action const& action)
     {
         if (auto const* const call = std::get_if<core::platform_call>(&action))
         {
-            this->platform.ask(*call, this->now);
+            this->platform.submit(*call, this->now);
         }
         if (auto const* const out = std::get_if<core::send_message>(&action))
         {
@@ -149,7 +149,8 @@
         }
     }
 
-    // Without the lease, another entry of the domain keeps renewing it.
+    // When this entry does not hold the lease, writes the renewals of another
+    // entry of the failure domain.
     void renew_foreign_lease()
     {
         auto const interval =
@@ -163,7 +164,7 @@
         }
     }
 
-    // Each agent that was spoken to sends one heartbeat a second.
+    // Each contacted agent sends one heartbeat per second.
     void send_heartbeats()
     {
         for (auto number = this->tick % ticks_per_second;
@@ -179,25 +180,25 @@
             message.envelope.set_from(name);
             message.envelope.set_from_incarnation(this->tick << 32U);
             message.envelope.set_to_incarnation(this->tick << 32U);
-            auto& beat = *message.envelope.mutable_heartbeat();
-            beat.set_failure_domain(domain_name(
+            auto& heartbeat = *message.envelope.mutable_heartbeat();
+            heartbeat.set_failure_domain(domain_name(
                 static_cast<std::uint32_t>(number) % this->shape.domains));
-            beat.set_region("region-0");
-            beat.set_engine_instance(name + "/1");
+            heartbeat.set_region("region-0");
+            heartbeat.set_engine_instance(name + "/1");
             auto const model = static_cast<std::uint32_t>(
                 number / this->shape.domains % this->shape.models);
-            auto& loaded = *beat.add_loaded();
+            auto& loaded = *heartbeat.add_loaded();
             loaded.set_model(model_name(model));
             loaded.set_digest(digest_of(model));
-            beat.set_limit(engine_limit);
-            beat.set_running(3);
-            beat.set_generation(1);
-            beat.set_plan_version(1);
-            beat.set_chunks_held(400);
-            beat.set_chunks_wanted(400);
+            heartbeat.set_limit(engine_limit);
+            heartbeat.set_running(3);
+            heartbeat.set_generation(1);
+            heartbeat.set_plan_version(1);
+            heartbeat.set_chunks_held(400);
+            heartbeat.set_chunks_wanted(400);
             ++this->received.frames;
             this->received.bytes += message.envelope.ByteSizeLong();
-            this->take("heartbeat", message);
+            this->apply("heartbeat", message);
         }
     }
 
@@ -242,11 +243,12 @@
     return nullptr;
 }
 
-// One request from its arrival to its last token; false when it was refused.
-bool run_request(entry_rig& rig, std::uint64_t number)
+// Runs one request from its arrival to its last token. Returns false when it
+// was refused.
+bool run_request(entry_harness& harness, std::uint64_t number)
 {
-    auto const begun = rig.take("request", make_request(number));
-    auto const* const run = find_run(begun);
+    auto const request_actions = harness.apply("request", make_request(number));
+    auto const* const run = find_run(request_actions);
     if (run == nullptr)
     {
         return false;
@@ -263,90 +265,99 @@
     {
         output.set_sequence(token);
         output.set_last(token + 1 == tokens_per_request);
-        rig.take("token", piece);
+        harness.apply("token", piece);
     }
     return true;
 }
 
 void add_control(
-    entry_rig const& rig,
+    entry_harness const& harness,
     std::string const& role,
-    std::uint64_t at,
+    std::uint64_t fleet_size,
     samples& into)
 {
     auto const length = static_cast<double>(measured_time.count());
     double total = 0;
-    for (auto const& [kind, cost] : rig.spent)
+    for (auto const& [kind, cost] : harness.step_costs)
     {
         auto name = role;
         name.append(".step.").append(kind).append(".us");
-        into.push_back({std::move(name), at, mean_us(cost), "us/event"});
+        into.push_back(
+            {std::move(name), fleet_size, mean_us(cost), "us/event"});
         total += std::chrono::duration<double>(cost.time).count();
     }
-    auto const a_second = [&](char const* what, double count, char const* unit)
+    auto const add_per_second =
+        [&](char const* what, double count, char const* unit)
     {
-        into.push_back({role + "." + what, at, count / length, unit});
+        into.push_back({role + "." + what, fleet_size, count / length, unit});
     };
-    a_second("control.core_share", total * 100, "% of a core");
-    a_second("control.sent_bytes", static_cast<double>(rig.sent.bytes), "B/s");
-    a_second(
-        "control.received_bytes", static_cast<double>(rig.received.bytes),
+    add_per_second("control.core_share", total * 100, "% of a core");
+    add_per_second(
+        "control.sent_bytes", static_cast<double>(harness.sent.bytes), "B/s");
+    add_per_second(
+        "control.received_bytes", static_cast<double>(harness.received.bytes),
         "B/s");
-    a_second(
-        "control.sent_frames", static_cast<double>(rig.sent.frames),
+    add_per_second(
+        "control.sent_frames", static_cast<double>(harness.sent.frames),
         "frames/s");
-    a_second(
-        "control.received_frames", static_cast<double>(rig.received.frames),
+    add_per_second(
+        "control.received_frames", static_cast<double>(harness.received.frames),
         "frames/s");
-    a_second(
-        "platform.reads", static_cast<double>(rig.calls("read")), "calls/s");
-    a_second(
-        "platform.writes", static_cast<double>(rig.calls("write")), "calls/s");
-    a_second(
-        "platform.watches", static_cast<double>(rig.calls("watch")), "calls/s");
-    a_second(
-        "platform.bytes", static_cast<double>(rig.platform_bytes()), "B/s");
+    add_per_second(
+        "platform.reads", static_cast<double>(harness.calls("read")),
+        "calls/s");
+    add_per_second(
+        "platform.writes", static_cast<double>(harness.calls("write")),
+        "calls/s");
+    add_per_second(
+        "platform.watches", static_cast<double>(harness.calls("watch")),
+        "calls/s");
+    add_per_second(
+        "platform.bytes", static_cast<double>(harness.platform_bytes()), "B/s");
     into.push_back(
-        {role + ".contacts", at, static_cast<double>(rig.contacts.size()),
-         "agents"});
+        {role + ".contacts", fleet_size,
+         static_cast<double>(harness.contacts.size()), "agents"});
 }
 
-void add_requests(entry_rig& rig, std::uint64_t at, samples& into)
+void add_requests(
+    entry_harness& harness, std::uint64_t fleet_size, samples& into)
 {
-    rig.reset();
+    harness.reset();
     std::uint64_t number = 0;
     std::uint32_t refused = 0;
     for (; number < measured_requests; ++number)
     {
-        refused += run_request(rig, number) ? 0 : 1;
+        refused += run_request(harness, number) ? 0 : 1;
     }
     for (auto const* const kind : {"request", "token"})
     {
         into.push_back(
-            {std::string("entry.step.") + kind + ".us", at,
-             mean_us(rig.spent[kind]), "us/event"});
+            {std::string("entry.step.") + kind + ".us", fleet_size,
+             mean_us(harness.step_costs[kind]), "us/event"});
     }
     into.push_back(
-        {"entry.requests.refused", at, static_cast<double>(refused),
+        {"entry.requests.refused", fleet_size, static_cast<double>(refused),
          "of " + std::to_string(measured_requests)});
     if (refused > 0)
     {
-        // A small fleet has no room for all models: no state to measure.
+        // A small fleet has no capacity for all models, so requests are refused
+        // and there is no per-request state to measure.
         return;
     }
-    auto const before = rig.state_bytes();
+    auto const before = harness.state_bytes();
     for (std::uint32_t open = 0; open < open_requests; ++open)
     {
-        rig.take("open", make_request(++number));
+        harness.apply("open", make_request(++number));
     }
     into.push_back(
-        {"entry.state.request", at,
-         static_cast<double>(rig.state_bytes() - before) / open_requests,
+        {"entry.state.request", fleet_size,
+         static_cast<double>(harness.state_bytes() - before) / open_requests,
          "B/request"});
-    rig.reset();
-    rig.run(seconds(1));
+    harness.reset();
+    harness.run(seconds(1));
     into.push_back(
-        {"entry.step.tick_under_load.us", at, mean_us(rig.spent["tick"]),
+        {"entry.step.tick_under_load.us", fleet_size,
+         mean_us(harness.step_costs["tick"]),
          "us/event with 500 open requests"});
 }
 
@@ -354,18 +365,18 @@
 
 void measure_entry(std::uint32_t endpoints, bool planner, samples& into)
 {
-    entry_rig rig(shape_of(endpoints), planner);
-    rig.run(settle_time);
-    rig.reset();
-    rig.run(measured_time);
+    entry_harness harness(shape_of(endpoints), planner);
+    harness.run(settle_time);
+    harness.reset();
+    harness.run(measured_time);
     std::string const role = planner ? "planner" : "entry";
-    add_control(rig, role, endpoints, into);
+    add_control(harness, role, endpoints, into);
     into.push_back(
         {role + ".state.bytes", endpoints,
-         static_cast<double>(rig.state_bytes()), "B"});
+         static_cast<double>(harness.state_bytes()), "B"});
     if (!planner)
     {
-        add_requests(rig, endpoints, into);
+        add_requests(harness, endpoints, into);
     }
 }
 
--- a/benchmarks/capacity/src/entry_slopes.hpp
+++ b/benchmarks/capacity/src/entry_slopes.hpp
@@ -6,9 +6,10 @@
 namespace foxtailvale::capacity
 {
 
-// Measures an entry's core before so many endpoints, in virtual time: its
-// state, what control costs it each second, and what one request costs. Names
-// begin with "entry." or, when it holds the planner lease, with "planner.".
+// Measures an entry's core in front of `endpoints` endpoints, in virtual time:
+// the size of its state, the cost of control per second, and the cost of a
+// request. Sample names start with "entry.", or with "planner." when the entry
+// holds the planner lease; requests are measured without the lease only.
 void measure_entry(std::uint32_t endpoints, bool planner, samples& into);
 
 } // namespace foxtailvale::capacity
--- a/benchmarks/capacity/src/fake_platform.cpp
+++ b/benchmarks/capacity/src/fake_platform.cpp
@@ -23,8 +23,8 @@
     }
 }
 
-core::platform_answer
-found(core::platform_call const& call, std::uint64_t version, std::string value)
+core::platform_answer success(
+    core::platform_call const& call, std::uint64_t version, std::string value)
 {
     core::platform_answer answer;
     answer.id = call.id;
@@ -35,7 +35,7 @@
 }
 
 core::platform_answer
-failed(core::platform_call const& call, base::error_kind kind)
+failure(core::platform_call const& call, base::error_kind kind)
 {
     core::platform_answer answer;
     answer.id = call.id;
@@ -54,9 +54,10 @@
     this->objects[path] = {++this->last_version, std::move(value)};
 }
 
-void fake_platform::ask(core::platform_call const& call, base::time_point now)
+void fake_platform::submit(
+    core::platform_call const& call, base::time_point now)
 {
-    ++this->counted[kind_of(call.method)];
+    ++this->call_counts[kind_of(call.method)];
     this->waiting.push_back({call, now + call.wait});
 }
 
@@ -65,10 +66,10 @@
     auto& entry = this->objects[call.path];
     if (entry.version != call.expected)
     {
-        return failed(call, base::error_kind::platform_conflict);
+        return failure(call, base::error_kind::platform_conflict);
     }
     entry = {++this->last_version, call.value};
-    return found(call, entry.version, {});
+    return success(call, entry.version, {});
 }
 
 std::string fake_platform::list(std::string const& prefix) const
@@ -92,39 +93,40 @@
 {
     auto const& call = next.call;
     auto const entry = this->objects.find(call.path);
-    auto const there = entry != this->objects.end();
+    auto const exists = entry != this->objects.end();
     switch (call.method)
     {
     case core::platform_method::vms:
-        return found(call, 1, this->vms);
+        return success(call, 1, this->vms);
     case core::platform_method::list:
-        return found(call, this->last_version, this->list(call.path));
+        return success(call, this->last_version, this->list(call.path));
     case core::platform_method::put:
         return this->put(call);
     case core::platform_method::watch:
-        if (there && entry->second.version > call.expected)
+        if (exists && entry->second.version > call.expected)
         {
-            return found(call, entry->second.version, entry->second.value);
+            return success(call, entry->second.version, entry->second.value);
         }
         if (now < next.until)
         {
             return std::nullopt;
         }
-        return failed(call, base::error_kind::not_found);
+        return failure(call, base::error_kind::not_found);
     default:
         break;
     }
-    if (there)
+    if (exists)
     {
-        return found(call, entry->second.version, entry->second.value);
+        return success(call, entry->second.version, entry->second.value);
     }
-    return failed(call, base::error_kind::not_found);
+    return failure(call, base::error_kind::not_found);
 }
 
-std::vector<core::platform_answer> fake_platform::answers(base::time_point now)
+std::vector<core::platform_answer>
+fake_platform::take_answers(base::time_point now)
 {
     std::vector<core::platform_answer> due;
-    std::vector<waiting_call> left;
+    std::vector<waiting_call> pending;
     for (auto const& next : this->waiting)
     {
         auto answer = this->try_answer(next, now);
@@ -135,16 +137,16 @@
         }
         else
         {
-            left.push_back(next);
+            pending.push_back(next);
         }
     }
-    this->waiting = std::move(left);
+    this->waiting = std::move(pending);
     return due;
 }
 
 std::map<std::string, std::uint64_t> const& fake_platform::calls() const
 {
-    return this->counted;
+    return this->call_counts;
 }
 
 std::uint64_t fake_platform::bytes_answered() const
--- a/benchmarks/capacity/src/fake_platform.hpp
+++ b/benchmarks/capacity/src/fake_platform.hpp
@@ -14,8 +14,8 @@
 namespace foxtailvale::capacity
 {
 
-// The platform's object API in memory and virtual time: answers calls with
-// versions, conditional updates and watches, and counts them.
+// In-memory object API of the platform in virtual time, with object versions,
+// conditional updates and watches. Counts calls and bytes.
 class fake_platform
 {
 public:
@@ -23,15 +23,15 @@
 
     void write(std::string const& path, std::string value);
 
-    void ask(core::platform_call const& call, base::time_point now);
+    void submit(core::platform_call const& call, base::time_point now);
 
-    // Answers that are due.
-    std::vector<core::platform_answer> answers(base::time_point now);
+    // Removes and returns the answers that are due.
+    std::vector<core::platform_answer> take_answers(base::time_point now);
 
-    // Calls so far by kind: "read", "write", "watch".
+    // Number of calls so far by kind: "read", "write", "watch".
     std::map<std::string, std::uint64_t> const& calls() const;
 
-    // Bytes of values answered so far.
+    // Total bytes of the values in all answers so far.
     std::uint64_t bytes_answered() const;
 
 private:
@@ -55,7 +55,7 @@
     std::string vms;
     std::map<std::string, object> objects;
     std::vector<waiting_call> waiting;
-    std::map<std::string, std::uint64_t> counted;
+    std::map<std::string, std::uint64_t> call_counts;
     std::uint64_t last_version = 0;
     std::uint64_t bytes = 0;
 };
--- a/benchmarks/capacity/src/fleet_shape.cpp
+++ b/benchmarks/capacity/src/fleet_shape.cpp
@@ -28,7 +28,7 @@
     return "region-" + std::to_string(domain % shape.regions);
 }
 
-json listed(
+json vm_entry(
     fleet_shape const& shape,
     std::string const& name,
     char const* role,
@@ -85,13 +85,13 @@
 release::configuration
 make_configuration(fleet_shape const& shape, std::uint64_t generation)
 {
-    release::configuration made;
-    made.generation = generation;
+    release::configuration result;
+    result.generation = generation;
     auto const each =
         std::max(1U, shape.endpoints / shape.domains / shape.models);
     for (std::uint32_t number = 0; number < shape.models; ++number)
     {
-        auto& model = made.models[model_name(number)];
+        auto& model = result.models[model_name(number)];
         model.digest = digest_of(number);
         model.memory_mib = model_memory_mib;
         for (std::uint32_t domain = 0; domain < shape.domains; ++domain)
@@ -101,14 +101,14 @@
     }
     for (std::uint32_t domain = 0; domain < shape.domains; ++domain)
     {
-        made.domains[domain_name(domain)].region = region_name(shape, domain);
+        result.domains[domain_name(domain)].region = region_name(shape, domain);
     }
-    made.services["booking"] = {};
+    result.services["booking"] = {};
     for (std::uint32_t number = 0; number < shape.workspaces; ++number)
     {
-        made.workspaces["workspace-" + std::to_string(number)] = {};
+        result.workspaces["workspace-" + std::to_string(number)] = {};
     }
-    return made;
+    return result;
 }
 
 std::vector<control::plan_member>
@@ -139,13 +139,13 @@
     json list = json::array();
     for (std::uint32_t number = 0; number < shape.endpoints; ++number)
     {
-        list.push_back(listed(
+        list.push_back(vm_entry(
             shape, agent_name(shape, number), "agent", number % shape.domains,
             number));
     }
     for (std::uint32_t number = 0; number < shape.entries; ++number)
     {
-        list.push_back(listed(
+        list.push_back(vm_entry(
             shape, entry_name(shape, number), "entry", number % shape.domains,
             shape.endpoints + number));
     }
--- a/benchmarks/capacity/src/fleet_usage.cpp
+++ b/benchmarks/capacity/src/fleet_usage.cpp
@@ -34,12 +34,12 @@
 
 scenario::deployment make_deployment(unsigned network, std::uint32_t agents)
 {
-    scenario::deployment made;
-    made.name = "capacity";
-    made.model = "model";
-    made.booking_service = "booking";
-    made.supporting_service = "tariffs";
-    made.store_region = "region-0";
+    scenario::deployment result;
+    result.name = "capacity";
+    result.model = "model";
+    result.booking_service = "booking";
+    result.supporting_service = "tariffs";
+    result.store_region = "region-0";
     for (std::uint32_t number = 0; number < target_domains; ++number)
     {
         scenario::domain place;
@@ -47,12 +47,12 @@
         place.region = "region-" + std::to_string(number % target_regions);
         place.entries = 1;
         place.engines = agents;
-        made.domains.push_back(std::move(place));
+        result.domains.push_back(std::move(place));
     }
-    made.region_latency_us = 1000;
-    made.workspaces = json::array({{{"name", "trials"}, {"weight", 1}}});
-    made.network = network;
-    return made;
+    result.region_latency_us = 1000;
+    result.workspaces = json::array({{{"name", "trials"}, {"weight", 1}}});
+    result.network = network;
+    return result;
 }
 
 json make_note(
@@ -79,14 +79,15 @@
 }
 
 template <class Condition>
-void wait_for(char const* what, Condition const& holds)
+void wait_for(char const* what, Condition const& condition)
 {
     auto const start = clock::now();
-    while (!holds())
+    while (!condition())
     {
         if (clock::now() - start > max_wait)
         {
-            throw std::runtime_error(std::string("never came: ") + what);
+            throw std::runtime_error(
+                std::string("timed out waiting for: ") + what);
         }
         std::this_thread::sleep_for(poll_interval);
     }
@@ -130,9 +131,9 @@
     samples& into)
 {
     double share = 0;
-    double most_share = 0;
+    double max_share = 0;
     double resident = 0;
-    double most_resident = 0;
+    double max_resident = 0;
     std::uint32_t count = 0;
     for (auto const& machine : running.vms())
     {
@@ -149,18 +150,18 @@
         auto const mib =
             static_cast<double>(now.resident_bytes) / bytes_per_mib;
         share += used;
-        most_share = std::max(most_share, used);
+        max_share = std::max(max_share, used);
         resident += mib;
-        most_resident = std::max(most_resident, mib);
+        max_resident = std::max(max_resident, mib);
     }
     auto const add = [&](char const* what, double value, char const* unit)
     {
         into.push_back({"process." + role + "." + what, at, value, unit});
     };
     add("core_share", share / count, "% of a core, mean");
-    add("core_share_most", most_share, "% of a core, highest");
+    add("core_share_most", max_share, "% of a core, highest");
     add("resident", resident / count, "MiB, mean");
-    add("resident_most", most_resident, "MiB, highest");
+    add("resident_most", max_resident, "MiB, highest");
 }
 
 } // namespace
--- a/benchmarks/capacity/src/fleet_usage.hpp
+++ b/benchmarks/capacity/src/fleet_usage.hpp
@@ -8,9 +8,9 @@
 namespace foxtailvale::capacity
 {
 
-// Starts real entries and agents, this many agents in each of the target's
-// failure domains behind one entry, gives them a small model and measures a
-// quiet fleet: memory and processor time by role, and calls to the platform.
+// Starts real processes: in each of the target's failure domains one entry and
+// `agents_per_domain` agents. Deploys a small model and measures the idle
+// fleet: memory and processor time by role, and calls to the platform.
 void measure_fleet(
     scenario::fleet_paths const& paths,
     unsigned network,
--- a/benchmarks/capacity/src/main.cpp
+++ b/benchmarks/capacity/src/main.cpp
@@ -38,18 +38,19 @@
         capacity::measure_planner(size, into);
         capacity::measure_entry(size, true, into);
         capacity::measure_entry(size, false, into);
-        // Entries speak to agents all alike, so an agent hears from as many
-        // as one entry's share of the agents says.
-        auto const contacts = capacity::measured(into, "entry.contacts", size);
+        // All entries contact equally many agents, so the mean number of
+        // entries per agent is contacts * entries / endpoints.
+        auto const contacts =
+            capacity::sample_value(into, "entry.contacts", size);
         auto const entries = capacity::shape_of(size).entries;
-        auto const listeners =
+        auto const connected_entries =
             std::lround(std::ceil(contacts * entries / size));
         capacity::measure_agent(
-            size, static_cast<std::uint32_t>(listeners), into);
+            size, static_cast<std::uint32_t>(connected_entries), into);
     }
 }
 
-// What is measured anew; the rest keeps the figures of the last run.
+// Which figures are measured; the others are kept from the last run.
 enum class scope
 {
     all,
@@ -85,18 +86,17 @@
     {
         measure_fleets(paths, network, all);
     }
-    for (auto const& kept : old)
+    for (auto const& previous : old)
     {
-        auto const of_processes = kept.name.starts_with("process.");
+        auto const of_processes = previous.name.starts_with("process.");
         if (wanted == scope::nothing ||
             (wanted == scope::cores && of_processes))
         {
-            all.push_back(kept);
+            all.push_back(previous);
         }
     }
     auto const text = capacity::to_csv(all);
-    // From the written figures, so that the page and the file agree to the
-    // last digit.
+    // Build the page from the CSV text, so that both have the same rounding.
     auto const page = capacity::replace_tables(
         read_file(docs + page_name),
         capacity::make_tables(capacity::from_csv(text)));
@@ -107,7 +107,7 @@
 
 } // namespace
 
-int main(int count, char** words)
+int main(int count, char** arguments)
 {
     try
     {
@@ -132,7 +132,7 @@
         TCLAP::SwitchArg const page(
             "", "page-only", "measure nothing, rewrite the page's tables",
             line);
-        line.parse(count, words);
+        line.parse(count, arguments);
         auto const wanted = page.getValue()    ? scope::nothing
                             : cores.getValue() ? scope::cores
                                                : scope::all;
@@ -140,9 +140,9 @@
             docs.getValue(), {programs.getValue(), work.getValue()},
             network.getValue(), wanted);
     }
-    catch (std::exception const& fault)
+    catch (std::exception const& error)
     {
-        std::cerr << "foxtailvale-capacity: " << fault.what() << "\n";
+        std::cerr << "foxtailvale-capacity: " << error.what() << "\n";
         return 1;
     }
 }
--- a/benchmarks/capacity/src/page.cpp
+++ b/benchmarks/capacity/src/page.cpp
@@ -15,7 +15,8 @@
 namespace
 {
 
-// Limits for control on one node, and the platform's rates: CONTRIBUTING.md.
+// Limits of the control overhead per node and of the platform's call rates,
+// from CONTRIBUTING.md.
 constexpr double core_share_limit = 3.2;
 constexpr double memory_limit_mib = 128;
 constexpr double bytes_limit = 4096;
@@ -46,10 +47,10 @@
     std::string what;
     std::string unit;
     double limit = no_limit;
-    // Names of samples whose sum it is.
+    // Names of the samples that add up to the quantity.
     std::vector<std::string> parts;
-    // Nodes that the sum is to be multiplied by; 1 for one node's share.
-    double times = 1;
+    // Number of nodes to multiply the sum by; 1 for a quantity per node.
+    double multiplier = 1;
 };
 
 std::vector<quantity> quantities()
@@ -155,32 +156,34 @@
     for (auto const& part : of.parts)
     {
         auto const line = slope_of(all, part);
-        sum.at_zero += line.at_zero;
-        sum.each += line.each;
+        sum.intercept += line.intercept;
+        sum.gradient += line.gradient;
         sum.points = std::min(sum.points, line.points);
     }
     return sum;
 }
 
-// Value at the target's size: measured there, else from the slope.
+// Value at the target's size and how it was obtained: measured at that size,
+// extrapolated, or the highest measured value.
 struct target_value
 {
     double value = std::numeric_limits<double>::quiet_NaN();
     std::string source;
 };
 
-// Sum of the highest figures of the parts, at whatever size.
-double highest(samples const& all, quantity const& of)
+// Sum of the highest values of the parts, each at any size.
+double highest_measured(samples const& all, quantity const& of)
 {
     double sum = 0;
     for (auto const& part : of.parts)
     {
-        double most = 0;
+        double max_value = 0;
         for (auto const& next : all)
         {
-            most = next.name == part ? std::max(most, next.value) : most;
+            max_value =
+                next.name == part ? std::max(max_value, next.value) : max_value;
         }
-        sum += most;
+        sum += max_value;
     }
     return sum;
 }
@@ -195,21 +198,22 @@
     double sum = 0;
     for (auto const& part : of.parts)
     {
-        sum += measured(all, part, target_endpoints);
+        sum += sample_value(all, part, target_endpoints);
     }
     found.source = "measured at this size";
-    if (std::isnan(sum) && line.each > 0)
+    if (std::isnan(sum) && line.gradient > 0)
     {
         sum = value_at(line, target_endpoints);
         found.source = "extended along the slope";
     }
     else if (std::isnan(sum))
     {
-        // A slope below zero is noise: extended it would end below nothing.
-        sum = highest(all, of);
+        // A slope of zero or below is noise; extrapolating it could give a
+        // negative value.
+        sum = highest_measured(all, of);
         found.source = "highest measured; does not grow";
     }
-    found.value = sum * of.times;
+    found.value = sum * of.multiplier;
     return found;
 }
 
@@ -226,23 +230,23 @@
     return value <= limit ? "met" : "**not met**";
 }
 
-// Number of endpoints at which the line reaches the limit.
-std::string breaking_size(quantity const& of, slope const& line)
+// Formats the number of endpoints at which the line reaches the limit.
+std::string size_at_limit(quantity const& of, slope const& line)
 {
     if (std::isinf(of.limit) || line.points < 2)
     {
         return "";
     }
-    auto const limit = of.limit / of.times;
-    if (line.at_zero >= limit)
+    auto const limit = of.limit / of.multiplier;
+    if (line.intercept >= limit)
     {
         return "any";
     }
-    if (line.each <= 0)
+    if (line.gradient <= 0)
     {
         return "none";
     }
-    return format((limit - line.at_zero) / line.each);
+    return format((limit - line.intercept) / line.gradient);
 }
 
 std::string growth_table(samples const& all)
@@ -257,22 +261,23 @@
         auto const at_target = value_of(all, next, line);
         auto const limit = std::isinf(next.limit) ? "" : format(next.limit);
         char each[32];
-        std::snprintf(each, sizeof each, "%.4g", line.each * next.times);
+        std::snprintf(
+            each, sizeof each, "%.4g", line.gradient * next.multiplier);
         text += "| " + next.role + " | " + next.what + ", " + next.unit +
-                " | " + format(line.at_zero * next.times) + " | " + each +
-                " | " + format(at_target.value) + " | " + limit + " | " +
+                " | " + format(line.intercept * next.multiplier) + " | " +
+                each + " | " + format(at_target.value) + " | " + limit + " | " +
                 verdict(at_target.value, next.limit) + " | " +
-                breaking_size(next, line) + " | " + at_target.source + " |\n";
+                size_at_limit(next, line) + " | " + at_target.source + " |\n";
     }
     return text;
 }
 
-// What the peak costs the cores; sockets are not in it.
+// Cost of the peak load in the cores, excluding socket I/O.
 std::string load_table(samples const& all)
 {
     auto const at = [&all](char const* name)
     {
-        return measured(all, name, target_endpoints);
+        return sample_value(all, name, target_endpoints);
     };
     auto const share = [&](char const* request, char const* token, double nodes)
     {
@@ -304,7 +309,7 @@
     std::map<std::string, std::string> units;
     for (auto const& next : all)
     {
-        sizes.insert(next.at);
+        sizes.insert(next.size);
         names.insert(next.name);
         units[next.name] = next.unit;
     }
@@ -321,7 +326,7 @@
         text += "| `" + name + "` | " + units[name] + " |";
         for (auto const size : sizes)
         {
-            auto const value = measured(all, name, size);
+            auto const value = sample_value(all, name, size);
             text += std::isnan(value) ? " |" : " " + format(value) + " |";
         }
         text += "\n";
@@ -345,7 +350,8 @@
     auto const end = page.find(tables_end);
     if (begin == std::string::npos || end == std::string::npos || end < begin)
     {
-        throw std::runtime_error("the page has no markers for its tables");
+        throw std::runtime_error("the page lacks the markers for its tables or "
+                                 "has them in wrong order");
     }
     auto const after_begin = begin + std::string_view(tables_begin).size();
     return page.substr(0, after_begin) + "\n" + tables + page.substr(end);
--- a/benchmarks/capacity/src/page.hpp
+++ b/benchmarks/capacity/src/page.hpp
@@ -8,16 +8,16 @@
 namespace foxtailvale::capacity
 {
 
-// Markers between which the page's tables are rewritten.
+// Markers that enclose the generated tables of the page.
 inline constexpr char const* tables_begin = "<!-- capacity: begin -->";
 inline constexpr char const* tables_end = "<!-- capacity: end -->";
 
-// The tables: each line of the target with its value, how the value was come
-// by and whether it is met, then the measured figures by size.
+// Formats the tables: for each target its value, how the value was obtained and
+// whether the target is met; then the measured figures by size.
 std::string make_tables(samples const& all);
 
-// The page with the text between its markers replaced; throws
-// std::runtime_error when a marker is missing.
+// Returns the page with the text between its markers replaced. Throws
+// std::runtime_error when a marker is missing or they are in the wrong order.
 std::string replace_tables(std::string const& page, std::string const& tables);
 
 } // namespace foxtailvale::capacity
--- a/benchmarks/capacity/src/planner_slopes.cpp
+++ b/benchmarks/capacity/src/planner_slopes.cpp
@@ -12,20 +12,21 @@
 namespace
 {
 
-constexpr std::uint32_t repeats = 20;
+constexpr std::uint32_t repetitions = 20;
 constexpr std::uint32_t chunks = 400;
 
-// Mean microseconds of one call.
+// Returns the mean processor time of a call in microseconds.
 template <class Function>
-double time_of(std::uint32_t times, Function const& work)
+double mean_call_us(std::uint32_t call_count, Function const& work)
 {
     auto const start = thread_processor_time();
-    for (std::uint32_t done = 0; done < times; ++done)
+    for (std::uint32_t done = 0; done < call_count; ++done)
     {
         work(done);
     }
-    auto const used = thread_processor_time() - start;
-    return std::chrono::duration<double, std::micro>(used).count() / times;
+    auto const elapsed = thread_processor_time() - start;
+    return std::chrono::duration<double, std::micro>(elapsed).count() /
+           call_count;
 }
 
 } // namespace
@@ -40,25 +41,25 @@
     {
         into.push_back({name, endpoints, value, unit});
     };
-    auto const make = [&](auto const& previous)
+    auto const time_plan = [&](auto const& previous)
     {
-        return time_of(
-            repeats,
+        return mean_call_us(
+            repetitions,
             [&](std::uint32_t /*turn*/)
             {
                 static_cast<void>(control::make_plan(
                     configuration, domain_name(0), members, previous));
             });
     };
-    add("planner.first_plan.us", make(control::domain_plan{}), "us/plan");
-    add("planner.same_plan.us", make(plan), "us/plan");
+    add("planner.first_plan.us", time_plan(control::domain_plan{}), "us/plan");
+    add("planner.same_plan.us", time_plan(plan), "us/plan");
 
     weights::plan_set plans;
     for (std::uint32_t domain = 0; domain < shape.domains; ++domain)
     {
         plans[domain_name(domain)] = make_domain_plan(shape, domain);
     }
-    auto const sources = time_of(
+    auto const sources = mean_call_us(
         chunks,
         [&](std::uint32_t chunk)
         {
@@ -69,8 +70,8 @@
     add("forest.sources.us", sources, "us/chunk");
 
     auto const list = make_vm_list(shape);
-    auto const parse = time_of(
-        repeats,
+    auto const parse = mean_call_us(
+        repetitions,
         [&](std::uint32_t /*turn*/)
         {
             static_cast<void>(control::parse_vm_list(list));
--- a/benchmarks/capacity/src/planner_slopes.hpp
+++ b/benchmarks/capacity/src/planner_slopes.hpp
@@ -6,8 +6,9 @@
 namespace foxtailvale::capacity
 {
 
-// Measures making and reading a domain's plan, finding a chunk's sources, and
-// the sizes of what is stored and sent, in a fleet of so many endpoints.
+// Measures, in a fleet of `endpoints` endpoints, the time to make a failure
+// domain's plan, to look up the sources of a chunk and to parse the VM list,
+// and the sizes of stored and sent documents.
 void measure_planner(std::uint32_t endpoints, samples& into);
 
 } // namespace foxtailvale::capacity
--- a/benchmarks/capacity/src/samples.cpp
+++ b/benchmarks/capacity/src/samples.cpp
@@ -23,7 +23,7 @@
         {
             continue;
         }
-        auto const x = static_cast<double>(next.at);
+        auto const x = static_cast<double>(next.size);
         ++count;
         sum_x += x;
         sum_y += next.value;
@@ -35,25 +35,26 @@
     auto const spread = count * sum_xx - sum_x * sum_x;
     if (spread > 0)
     {
-        line.each = (count * sum_xy - sum_x * sum_y) / spread;
+        line.gradient = (count * sum_xy - sum_x * sum_y) / spread;
     }
     if (count > 0)
     {
-        line.at_zero = (sum_y - line.each * sum_x) / count;
+        line.intercept = (sum_y - line.gradient * sum_x) / count;
     }
     return line;
 }
 
 double value_at(slope const& line, double size)
 {
-    return line.at_zero + line.each * size;
+    return line.intercept + line.gradient * size;
 }
 
-double measured(samples const& all, std::string const& name, std::uint64_t size)
+double
+sample_value(samples const& all, std::string const& name, std::uint64_t size)
 {
     for (auto const& next : all)
     {
-        if (next.name == name && next.at == size)
+        if (next.name == name && next.size == size)
         {
             return next.value;
         }
@@ -67,7 +68,7 @@
     text << "name,at,value,unit\n";
     for (auto const& next : all)
     {
-        text << next.name << ',' << next.at << ',' << next.value << ','
+        text << next.name << ',' << next.size << ',' << next.value << ','
              << next.unit << '\n';
     }
     return text.str();
@@ -89,7 +90,7 @@
             std::getline(fields, at, ',') && std::getline(fields, value, ',') &&
             std::getline(fields, next.unit))
         {
-            next.at = std::strtoull(at.c_str(), nullptr, 10);
+            next.size = std::strtoull(at.c_str(), nullptr, 10);
             next.value = std::strtod(value.c_str(), nullptr);
             all.push_back(std::move(next));
         }
--- a/benchmarks/capacity/src/samples.hpp
+++ b/benchmarks/capacity/src/samples.hpp
@@ -10,49 +10,50 @@
 namespace foxtailvale::capacity
 {
 
-// One measured figure at one size.
+// One measured figure at one fleet size.
 struct sample
 {
-    // Dotted: role, subject, quantity.
+    // Dotted name: role, subject, quantity.
     std::string name;
-    // What the figure was measured at, such as a number of endpoints.
-    std::uint64_t at = 0;
+    // Size at which it was measured, usually a number of endpoints.
+    std::uint64_t size = 0;
     double value = 0;
     std::string unit;
 };
 
 using samples = std::vector<sample>;
 
-// Straight line through the samples of one name, by least squares.
+// Least-squares line through the samples of one name.
 struct slope
 {
-    double at_zero = 0;
-    double each = 0;
+    double intercept = 0;
+    double gradient = 0;
     std::size_t points = 0;
 };
 
 slope slope_of(samples const& all, std::string const& name);
 
-// Value of the line at a size.
+// Returns the value of the line at a size.
 double value_at(slope const& line, double size);
 
-// The sample with this name at exactly this size; NaN when there is none.
+// Returns the value of the sample with this name and exactly this size, or NaN
+// when there is none.
 double
-measured(samples const& all, std::string const& name, std::uint64_t size);
+sample_value(samples const& all, std::string const& name, std::uint64_t size);
 
-// One line per sample, with a heading.
+// Formats the samples as CSV: a header line, then one line per sample.
 std::string to_csv(samples const& all);
 
-// Reads what to_csv wrote; lines that are none are left out.
+// Parses the output of to_csv. Malformed lines are skipped.
 samples from_csv(std::string const& text);
 
-// Processor time that the calling thread has used.
+// Processor time used by the calling thread so far.
 std::chrono::nanoseconds thread_processor_time();
 
-// Bytes that the program holds on the heap.
+// Bytes currently allocated on the heap by the process.
 std::uint64_t heap_bytes();
 
-// Processor time and number of events by kind.
+// Number of events of one kind and the processor time spent on them.
 struct cost
 {
     std::uint64_t count = 0;
@@ -61,7 +62,7 @@
 
 using costs = std::map<std::string, cost>;
 
-// Microseconds an event, or 0 when there was none.
+// Mean microseconds per event, or 0 when there were no events.
 double mean_us(cost const& of);
 
 } // namespace foxtailvale::capacity
--- a/benchmarks/capacity/tests/page_tests.cpp
+++ b/benchmarks/capacity/tests/page_tests.cpp
@@ -14,8 +14,8 @@
         {"a", 10, 25, "B"}, {"a", 20, 45, "B"}, {"b", 20, 7, "B"}};
     auto const line = slope_of(all, "a");
     EXPECT_EQ(line.points, 2U);
-    EXPECT_DOUBLE_EQ(line.each, 2);
-    EXPECT_DOUBLE_EQ(line.at_zero, 5);
+    EXPECT_DOUBLE_EQ(line.gradient, 2);
+    EXPECT_DOUBLE_EQ(line.intercept, 5);
     EXPECT_DOUBLE_EQ(value_at(line, 1500), 3005);
 }
 
@@ -25,13 +25,13 @@
     auto const read = from_csv(to_csv(all));
     ASSERT_EQ(read.size(), 1U);
     EXPECT_EQ(read[0].name, "a.us");
-    EXPECT_EQ(read[0].at, 10U);
+    EXPECT_EQ(read[0].size, 10U);
     EXPECT_DOUBLE_EQ(read[0].value, 2.5);
     EXPECT_EQ(read[0].unit, "us/event, mean");
 }
 
-// A figure above its limit is a "not met" and a missing one is not a "met":
-// somebody buying machines by the page must not be told otherwise.
+// Guards against a page that reports a limit as met although the figure exceeds
+// it or was never measured: machines are bought by this page.
 TEST(capacity_page, tells_missed_limits_and_missing_figures)
 {
     samples const all{
@@ -52,7 +52,7 @@
         << text;
 }
 
-// The committed page must hold the figures of the committed run.
+// The committed page must be generated from the committed CSV file.
 TEST(capacity_page, shows_the_committed_figures)
 {
     auto const read = [](char const* name)
--- a/benchmarks/requests/src/call_load.cpp
+++ b/benchmarks/requests/src/call_load.cpp
@@ -24,7 +24,7 @@
 
 constexpr int answer_timeout_seconds = 20;
 
-// One kept-alive connection.
+// A client with one keep-alive connection.
 class caller
 {
 public:
@@ -35,7 +35,7 @@
         this->session.setTimeout(Poco::Timespan(answer_timeout_seconds, 0));
     }
 
-    // False when the answer was not a whole 200.
+    // Returns false when the answer was not a complete 200.
     bool call()
     {
         try
@@ -82,21 +82,21 @@
     return std::chrono::duration_cast<microseconds>(clock::now() - start);
 }
 
-// Results of several threads.
+// Merges the results of several threads.
 class collector
 {
 public:
     void add(std::vector<microseconds> const& latencies, std::uint64_t failed)
     {
         std::lock_guard const lock(this->mutex);
-        auto& all = this->results.latencies;
-        all.insert(all.end(), latencies.begin(), latencies.end());
+        auto& combined = this->results.latencies;
+        combined.insert(combined.end(), latencies.begin(), latencies.end());
         this->results.failed += failed;
     }
 
-    call_results finish(microseconds length)
+    call_results finish(microseconds duration)
     {
-        this->results.length = length;
+        this->results.duration = duration;
         std::ranges::sort(this->results.latencies);
         return std::move(this->results);
     }
@@ -122,87 +122,88 @@
 
 } // namespace
 
-call_results call_steadily(
+call_results call_open_loop(
     call_target const& target,
     std::uint32_t per_second,
-    std::chrono::seconds length)
+    std::chrono::seconds duration)
 {
-    // Enough that a call that is due finds a free connection.
+    // Enough connections for each call to find a free one when it is due.
     constexpr std::size_t connections = 50;
-    collector all;
+    collector combined;
     auto const start = clock::now() + std::chrono::milliseconds(100);
     run_threads(
         connections,
         [&](std::size_t index)
         {
-            caller one(target);
+            caller client(target);
             std::vector<microseconds> latencies;
             std::uint64_t failed = 0;
-            auto const gap = std::chrono::nanoseconds(1'000'000'000) *
-                             connections / per_second;
-            auto due = start + gap * index / connections;
-            for (; due < start + length; due += gap)
+            auto const interval = std::chrono::nanoseconds(1'000'000'000) *
+                                  connections / per_second;
+            auto due = start + interval * index / connections;
+            for (; due < start + duration; due += interval)
             {
                 std::this_thread::sleep_until(due);
-                auto const right = one.call();
+                auto const succeeded = client.call();
                 latencies.push_back(since(due));
-                failed += right ? 0 : 1;
+                failed += succeeded ? 0 : 1;
             }
-            all.add(latencies, failed);
+            combined.add(latencies, failed);
         });
-    return all.finish(length);
+    return combined.finish(duration);
 }
 
-call_results call_hard(
+call_results call_closed_loop(
     call_target const& target,
     std::size_t connections,
-    std::chrono::seconds length)
+    std::chrono::seconds duration)
 {
-    collector all;
+    collector combined;
     auto const start = clock::now();
     run_threads(
         connections,
         [&](std::size_t)
         {
-            caller one(target);
+            caller client(target);
             std::vector<microseconds> latencies;
             std::uint64_t failed = 0;
-            while (clock::now() < start + length)
+            while (clock::now() < start + duration)
             {
-                auto const begun = clock::now();
-                auto const right = one.call();
-                latencies.push_back(since(begun));
-                failed += right ? 0 : 1;
+                auto const call_start = clock::now();
+                auto const succeeded = client.call();
+                latencies.push_back(since(call_start));
+                failed += succeeded ? 0 : 1;
             }
-            all.add(latencies, failed);
+            combined.add(latencies, failed);
         });
-    return all.finish(since(start));
+    return combined.finish(since(start));
 }
 
-call_results call_at_once(call_target const& target, std::size_t connections)
+call_results
+call_concurrently(call_target const& target, std::size_t connections)
 {
-    collector all;
+    collector combined;
     auto const start = clock::now();
     run_threads(
         connections,
         [&](std::size_t)
         {
-            caller one(target);
-            auto const begun = clock::now();
-            auto const right = one.call();
-            all.add({since(begun)}, right ? 0 : 1);
+            caller client(target);
+            auto const call_start = clock::now();
+            auto const succeeded = client.call();
+            combined.add({since(call_start)}, succeeded ? 0 : 1);
         });
-    return all.finish(since(start));
+    return combined.finish(since(start));
 }
 
-double milliseconds_at(call_results const& results, double part)
+double latency_quantile_ms(call_results const& results, double quantile)
 {
     if (results.latencies.empty())
     {
         return 0;
     }
     auto const last = static_cast<double>(results.latencies.size() - 1);
-    auto const index = static_cast<std::size_t>(std::lround(part * last));
+    auto const index = static_cast<std::size_t>(std::lround(quantile * last));
     return static_cast<double>(results.latencies[index].count()) / 1000;
 }
 
--- a/benchmarks/requests/src/call_load.hpp
+++ b/benchmarks/requests/src/call_load.hpp
@@ -9,7 +9,7 @@
 namespace foxtailvale::bench
 {
 
-// What is called, over connections that are kept alive.
+// Where and what to call, over keep-alive connections.
 struct call_target
 {
     // "IP:PORT".
@@ -19,30 +19,35 @@
     std::string body;
 };
 
+// Latencies and failures of all calls of a run.
 struct call_results
 {
     std::vector<std::chrono::microseconds> latencies;
     std::uint64_t failed = 0;
-    std::chrono::microseconds length{0};
+    std::chrono::microseconds duration{0};
 };
 
-// Calls at a steady rate, whether or not earlier ones were answered. Latency
-// counts from the time a call was due.
-call_results call_steadily(
+// Open-loop load: issues calls at a constant rate, independent of the answers
+// to earlier calls. Latency is measured from the time a call was due.
+call_results call_open_loop(
     call_target const& target,
     std::uint32_t per_second,
-    std::chrono::seconds length);
+    std::chrono::seconds duration);
 
-// Calls as fast as so many connections can, each waiting for its answer.
-call_results call_hard(
+// Closed-loop load: each connection issues its next call as soon as the
+// previous one is answered.
+call_results call_closed_loop(
     call_target const& target,
     std::size_t connections,
-    std::chrono::seconds length);
+    std::chrono::seconds duration);
 
-// One call on each of so many connections at the same moment.
-call_results call_at_once(call_target const& target, std::size_t connections);
+// Issues one call on each of the connections concurrently.
+call_results
+call_concurrently(call_target const& target, std::size_t connections);
 
-double milliseconds_at(call_results const& results, double part);
+// Returns a quantile between 0 and 1 of the latencies, in milliseconds; 0 when
+// there are none.
+double latency_quantile_ms(call_results const& results, double quantile);
 
 } // namespace foxtailvale::bench
 
--- a/benchmarks/requests/src/main.cpp
+++ b/benchmarks/requests/src/main.cpp
@@ -14,8 +14,8 @@
 #include <iostream>
 #include <thread>
 
-// Measures what the way through entry and agent costs a request, with real
-// processes before stand-ins.
+// Measures the overhead that the path through entry and agent adds to a
+// request, with real processes in front of stand-ins.
 namespace foxtailvale::bench
 {
 
@@ -29,27 +29,28 @@
 constexpr std::uint64_t model_bytes = 256ULL * 1024;
 constexpr std::uint32_t chunk_bytes = 64 * 1024;
 constexpr std::uint64_t seed = 21;
-constexpr std::uint32_t engines = 64;
-constexpr std::uint32_t services = 8;
-constexpr std::uint32_t rate = 500;
-constexpr seconds measured{10};
+constexpr std::uint32_t engine_count = 64;
+constexpr std::uint32_t service_count = 8;
+constexpr std::uint32_t requests_per_second = 500;
+constexpr seconds measured_time{10};
 constexpr seconds max_wait{60};
-constexpr std::size_t streams = 500;
+constexpr std::size_t stream_count = 500;
 constexpr std::size_t idle_connections = 10'000;
 constexpr double bytes_per_mib = 1024.0 * 1024.0;
 
 scenario::deployment make_deployment(unsigned network)
 {
-    scenario::deployment made;
-    made.name = "requests";
-    made.model = "model";
-    made.booking_service = "booking";
-    made.supporting_service = "tariffs";
-    made.store_region = "region-0";
-    made.domains.push_back({"domain-0", "region-0", 1, engines, 1, services});
-    made.workspaces = json::array({{{"name", "trials"}, {"weight", 1}}});
-    made.network = network;
-    return made;
+    scenario::deployment result;
+    result.name = "requests";
+    result.model = "model";
+    result.booking_service = "booking";
+    result.supporting_service = "tariffs";
+    result.store_region = "region-0";
+    result.domains.push_back(
+        {"domain-0", "region-0", 1, engine_count, 1, service_count});
+    result.workspaces = json::array({{{"name", "trials"}, {"weight", 1}}});
+    result.network = network;
+    return result;
 }
 
 json make_note(scenario::deployment const& from, std::string const& digest)
@@ -59,7 +60,7 @@
     added["domains"]["domain-0"] = {{"region", "region-0"}};
     added["models"][from.model] = {
         {"digest", digest},
-        {"replicas", {{"domain-0", engines}}},
+        {"replicas", {{"domain-0", engine_count}}},
         {"limit", 8},
         {"cold_limit", 2},
         {"memory_mib", 64}};
@@ -76,7 +77,8 @@
     {
         if (std::chrono::steady_clock::now() > end)
         {
-            throw std::runtime_error(std::string("never came: ") + what);
+            throw std::runtime_error(
+                std::string("timed out waiting for: ") + what);
         }
         std::this_thread::sleep_for(milliseconds(100));
     }
@@ -116,7 +118,7 @@
     }
 
 private:
-    call_target through(std::string path, std::string body = "") const
+    call_target via_entry(std::string path, std::string body = "") const
     {
         return {
             this->entry.address + ":" + std::to_string(scenario::caller_port),
@@ -154,10 +156,10 @@
         return static_cast<double>(scenario::read_usage(id).processor.count());
     }
 
-    void row(std::string const& name, char const* form, double value)
+    void add_row(std::string const& name, char const* format, double value)
     {
         char text[64];
-        std::snprintf(text, sizeof text, form, value);
+        std::snprintf(text, sizeof text, format, value);
         this->table += "| " + name + " | " + text + " |\n";
         std::cout << name << ": " << text << std::endl;
     }
@@ -174,69 +176,77 @@
             },
             "note");
         auto const short_chat =
-            this->through("/v1/chat/completions", this->chat(2));
+            this->via_entry("/v1/chat/completions", this->chat(2));
         wait_until(
             [&]
             {
-                return call_at_once(short_chat, 1).failed == 0 &&
-                       call_at_once(this->through("/services/tariffs/"), 1)
+                return call_concurrently(short_chat, 1).failed == 0 &&
+                       call_concurrently(
+                           this->via_entry("/services/tariffs/"), 1)
                                .failed == 0;
             },
             "first answers");
-        // Engines are cold at first; each must have answered some before the
-        // gates let their full load through.
-        call_steadily(short_chat, 400, seconds(12));
+        // Engines start cold. Each must answer several requests before its
+        // agent admits the full load.
+        call_open_loop(short_chat, 400, seconds(12));
     }
 
     void measure_latency()
     {
-        auto const alone = call_steadily(this->direct(), rate, measured);
+        auto const baseline =
+            call_open_loop(this->direct(), requests_per_second, measured_time);
         auto const before = this->processor_ms();
-        auto const with =
-            call_steadily(this->through("/services/tariffs/"), rate, measured);
+        auto const via_fleet = call_open_loop(
+            this->via_entry("/services/tariffs/"), requests_per_second,
+            measured_time);
         auto const used = this->processor_ms() - before;
-        for (auto const part : {0.5, 0.99})
+        for (auto const quantile : {0.5, 0.99})
         {
-            auto const name = part < 0.9 ? "p50" : "p99";
-            this->row(
+            auto const name = quantile < 0.9 ? "p50" : "p99";
+            this->add_row(
                 std::string("direct ") + name + " (ms)", "%.2f",
-                milliseconds_at(alone, part));
-            this->row(
+                latency_quantile_ms(baseline, quantile));
+            this->add_row(
                 std::string("through entry and agent ") + name + " (ms)",
-                "%.2f", milliseconds_at(with, part));
-            this->row(
+                "%.2f", latency_quantile_ms(via_fleet, quantile));
+            this->add_row(
                 std::string("added ") + name + " (ms)", "%.2f",
-                milliseconds_at(with, part) - milliseconds_at(alone, part));
+                latency_quantile_ms(via_fleet, quantile) -
+                    latency_quantile_ms(baseline, quantile));
         }
-        this->row(
+        this->add_row(
             "failed of the requests at 500/s", "%.0f",
-            static_cast<double>(with.failed));
-        this->row(
+            static_cast<double>(via_fleet.failed));
+        this->add_row(
             "entry's processor time per request (us)", "%.0f",
-            used * 1000 / static_cast<double>(with.latencies.size()));
-        auto const booked = call_steadily(
-            this->through("/services/booking/", "van"), 100, seconds(5));
-        this->row(
+            used * 1000 / static_cast<double>(via_fleet.latencies.size()));
+        auto const booked = call_open_loop(
+            this->via_entry("/services/booking/", "van"), 100, seconds(5));
+        this->add_row(
             "booking without a key, reserved first, p50 (ms)", "%.2f",
-            milliseconds_at(booked, 0.5));
-        this->row(
+            latency_quantile_ms(booked, 0.5));
+        this->add_row(
             "failed of these", "%.0f", static_cast<double>(booked.failed));
     }
 
     void measure_throughput()
     {
-        auto const hard =
-            call_hard(this->through("/services/tariffs/"), 128, seconds(8));
-        auto const length = std::chrono::duration<double>(hard.length).count();
-        this->row(
+        auto const saturated = call_closed_loop(
+            this->via_entry("/services/tariffs/"), 128, seconds(8));
+        auto const elapsed_seconds =
+            std::chrono::duration<double>(saturated.duration).count();
+        this->add_row(
             "requests/s of one entry (128 connections)", "%.0f",
-            static_cast<double>(hard.latencies.size() - hard.failed) / length);
-        this->row("failed of these", "%.0f", static_cast<double>(hard.failed));
+            static_cast<double>(saturated.latencies.size() - saturated.failed) /
+                elapsed_seconds);
+        this->add_row(
+            "failed of these", "%.0f", static_cast<double>(saturated.failed));
     }
 
     void measure_streams()
     {
-        this->row("entry's memory before (MiB)", "%.0f", this->resident_mib());
+        this->add_row(
+            "entry's memory before (MiB)", "%.0f", this->resident_mib());
         std::atomic<bool> done{false};
         auto peak = 0.0;
         std::thread watch(
@@ -248,30 +258,36 @@
                     std::this_thread::sleep_for(milliseconds(50));
                 }
             });
-        auto const all = call_at_once(
-            this->through("/v1/chat/completions", this->chat(400)), streams);
+        auto const results = call_concurrently(
+            this->via_entry("/v1/chat/completions", this->chat(400)),
+            stream_count);
         done = true;
         watch.join();
-        this->row("streams begun at once", "%.0f", streams);
-        this->row("failed of these", "%.0f", static_cast<double>(all.failed));
-        this->row("entry's memory meanwhile (MiB)", "%.0f", peak);
+        this->add_row("streams begun at once", "%.0f", stream_count);
+        this->add_row(
+            "failed of these", "%.0f", static_cast<double>(results.failed));
+        this->add_row("entry's memory meanwhile (MiB)", "%.0f", peak);
     }
 
     void measure_idle()
     {
         std::vector<Poco::Net::StreamSocket> idle;
-        Poco::Net::SocketAddress const address(this->through("").address);
+        Poco::Net::SocketAddress const address(this->via_entry("").address);
         for (std::size_t index = 0; index < idle_connections; ++index)
         {
             idle.emplace_back(address);
         }
-        auto const with =
-            call_steadily(this->through("/services/tariffs/"), rate, measured);
-        this->row("idle connections held", "%.0f", idle_connections);
-        this->row("p50 meanwhile (ms)", "%.2f", milliseconds_at(with, 0.5));
-        this->row("p99 meanwhile (ms)", "%.2f", milliseconds_at(with, 0.99));
-        this->row("failed of these", "%.0f", static_cast<double>(with.failed));
-        this->row("entry's memory (MiB)", "%.0f", this->resident_mib());
+        auto const via_fleet = call_open_loop(
+            this->via_entry("/services/tariffs/"), requests_per_second,
+            measured_time);
+        this->add_row("idle connections held", "%.0f", idle_connections);
+        this->add_row(
+            "p50 meanwhile (ms)", "%.2f", latency_quantile_ms(via_fleet, 0.5));
+        this->add_row(
+            "p99 meanwhile (ms)", "%.2f", latency_quantile_ms(via_fleet, 0.99));
+        this->add_row(
+            "failed of these", "%.0f", static_cast<double>(via_fleet.failed));
+        this->add_row("entry's memory (MiB)", "%.0f", this->resident_mib());
     }
 
     scenario::fleet fleet;
@@ -280,7 +296,7 @@
     std::string table = "| measure | value |\n| --- | --- |\n";
 };
 
-int run(int count, char** words)
+int run(int count, char** arguments)
 {
     TCLAP::CmdLine line(
         "Measures the way of a request with real processes.", ' ',
@@ -296,9 +312,9 @@
     TCLAP::ValueArg<unsigned> const network(
         "n", "network", "second number of the loopback addresses", false, 1,
         "NUMBER", line);
-    line.parse(count, words);
-    bench one({programs.getValue(), work.getValue()}, network.getValue());
-    auto const table = one.run();
+    line.parse(count, arguments);
+    bench benchmark({programs.getValue(), work.getValue()}, network.getValue());
+    auto const table = benchmark.run();
     if (!page.getValue().empty())
     {
         std::ofstream(page.getValue()) << table;
@@ -310,15 +326,15 @@
 
 } // namespace foxtailvale::bench
 
-int main(int count, char** words)
+int main(int count, char** arguments)
 {
     try
     {
-        return foxtailvale::bench::run(count, words);
+        return foxtailvale::bench::run(count, arguments);
     }
-    catch (std::exception const& fault)
+    catch (std::exception const& error)
     {
-        std::cerr << "foxtailvale-bench-requests: " << fault.what() << "\n";
+        std::cerr << "foxtailvale-bench-requests: " << error.what() << "\n";
         return 1;
     }
 }
--- a/benchmarks/weights/src/burst.cpp
+++ b/benchmarks/weights/src/burst.cpp
@@ -41,17 +41,17 @@
 
 scenario::deployment make_deployment(burst_settings const& settings)
 {
-    scenario::deployment made;
-    made.name = "bench-weights";
-    made.model = live_model;
-    made.booking_service = "booking";
-    made.supporting_service = "portal";
-    made.store_region = "region-1";
-    made.region_latency_us = link_latency_us;
-    made.region_bits_per_second = link_bits_per_second;
-    made.workspaces = json::array({{{"name", "bench"}, {"weight", 1}}});
-    made.network = settings.network;
-    made.distribution = settings.distribution;
+    scenario::deployment fleet_layout;
+    fleet_layout.name = "bench-weights";
+    fleet_layout.model = live_model;
+    fleet_layout.booking_service = "booking";
+    fleet_layout.supporting_service = "portal";
+    fleet_layout.store_region = "region-1";
+    fleet_layout.region_latency_us = link_latency_us;
+    fleet_layout.region_bits_per_second = link_bits_per_second;
+    fleet_layout.workspaces = json::array({{{"name", "bench"}, {"weight", 1}}});
+    fleet_layout.network = settings.network;
+    fleet_layout.distribution = settings.distribution;
     for (int index = 0; index < settings.domains; ++index)
     {
         auto const region =
@@ -63,9 +63,9 @@
         domain.engines = static_cast<std::uint32_t>(
             settings.agents / settings.domains +
             (index < settings.agents % settings.domains ? 1 : 0));
-        made.domains.push_back(domain);
+        fleet_layout.domains.push_back(domain);
     }
-    return made;
+    return fleet_layout;
 }
 
 json model_clause(scenario::deployment const& from, std::string const& digest)
@@ -108,7 +108,8 @@
     return std::chrono::duration<double>(clock::now() - start).count();
 }
 
-// Value of a counter without labels on a metrics page; zero when not there.
+// Returns the value of an unlabelled counter on a metrics page, or zero when
+// the page does not contain it.
 double counter(std::string const& page, std::string const& name)
 {
     std::istringstream lines(page);
@@ -125,11 +126,11 @@
 
 std::string metrics_page(scenario::vm const& machine)
 {
-    http::request ask;
-    ask.base = "http://" + machine.address + ":" +
-               std::to_string(scenario::operator_port);
-    ask.path = "/metrics";
-    auto const answer = http::call(ask);
+    http::request metrics_request;
+    metrics_request.base = "http://" + machine.address + ":" +
+                           std::to_string(scenario::operator_port);
+    metrics_request.path = "/metrics";
+    auto const answer = http::call(metrics_request);
     return answer ? answer.value().body : std::string();
 }
 
@@ -149,7 +150,7 @@
     return 0;
 }
 
-// One measurement in progress.
+// A single run of the benchmark.
 class measurement
 {
 public:
@@ -170,42 +171,42 @@
         this->wait_for(live_model, this->small.digest, setup_time);
         this->result.live_p95_idle_ms =
             this->load(idle_time)["whole"]["p95_ms"];
-        this->note_before();
+        this->record_baseline();
         std::thread live(
             [this]
             {
-                auto const seen = this->load(this->burst_load_time());
-                this->result.live_p95_burst_ms = seen["whole"]["p95_ms"];
-                auto const right =
-                    seen["outcomes"].value("right", std::uint64_t{0});
+                auto const load_report = this->load(this->burst_load_time());
+                this->result.live_p95_burst_ms = load_report["whole"]["p95_ms"];
+                auto const correct =
+                    load_report["outcomes"].value("right", std::uint64_t{0});
                 this->result.live_failed =
-                    seen["requests"].get<std::uint64_t>() - right;
+                    load_report["requests"].get<std::uint64_t>() - correct;
             });
         this->apply(burst_note(this->running.layout(), this->large.digest));
         auto const start = clock::now();
         this->result.finished = this->wait_for(
-            large_model, this->large.digest, this->settings.longest);
+            large_model, this->large.digest, this->settings.max_duration);
         this->result.seconds_all = seconds_since(start);
-        this->note_after();
+        this->record_results();
         live.join();
         this->running.stop();
         return this->result;
     }
 
 private:
-    double bound() const
+    double lower_bound_seconds() const
     {
         constexpr double bits_per_byte = 8;
         return static_cast<double>(this->settings.bytes) * bits_per_byte /
                static_cast<double>(link_bits_per_second);
     }
 
-    // As long as the burst should take at best.
+    // The live load lasts for the minimum duration of the burst.
     milliseconds burst_load_time() const
     {
         constexpr double milliseconds_per_second = 1000;
-        return milliseconds(
-            static_cast<std::int64_t>(this->bound() * milliseconds_per_second));
+        return milliseconds(static_cast<std::int64_t>(
+            this->lower_bound_seconds() * milliseconds_per_second));
     }
 
     void apply(json const& note)
@@ -215,7 +216,8 @@
         {
             if (clock::now() - start > setup_time)
             {
-                throw std::runtime_error("the note was not accepted");
+                throw std::runtime_error(
+                    "the release note was not accepted within the setup time");
             }
             std::this_thread::sleep_for(poll_interval);
         }
@@ -240,9 +242,12 @@
             });
     }
 
-    // Waits until all engines serve the version, noting when half did.
+    // Waits until all engines serve the version and records when half of them
+    // did. Returns false on time-out.
     bool wait_for(
-        std::string const& model, std::string const& digest, seconds longest)
+        std::string const& model,
+        std::string const& digest,
+        seconds max_duration)
     {
         auto const start = clock::now();
         std::vector<scenario::vm> missing;
@@ -254,8 +259,8 @@
             }
         }
         auto const all = missing.size();
-        auto is_half = false;
-        while (!missing.empty() && clock::now() - start < longest)
+        auto half_reached = false;
+        while (!missing.empty() && clock::now() - start < max_duration)
         {
             std::erase_if(
                 missing,
@@ -263,9 +268,9 @@
                 {
                     return this->serves(machine, model, digest);
                 });
-            if (!is_half && missing.size() * 2 <= all)
+            if (!half_reached && missing.size() * 2 <= all)
             {
-                is_half = true;
+                half_reached = true;
                 this->result.seconds_half = seconds_since(start);
             }
             std::this_thread::sleep_for(poll_interval);
@@ -275,24 +280,24 @@
 
     json load(milliseconds duration)
     {
-        load::load_settings with;
+        load::load_settings load_options;
         for (auto const& machine : this->running.vms())
         {
             if (machine.kind == scenario::vm_kind::entry)
             {
-                with.entries.push_back(
+                load_options.entries.push_back(
                     "http://" + machine.address + ":" +
                     std::to_string(scenario::caller_port));
             }
         }
-        with.workspaces = {{"bench", 1}};
-        with.model = live_model;
-        with.chats_per_second = chats_per_second;
-        with.duration = duration;
-        return load::run_load(with);
+        load_options.workspaces = {{"bench", 1}};
+        load_options.model = live_model;
+        load_options.chats_per_second = chats_per_second;
+        load_options.duration = duration;
+        return load::run_load(load_options);
     }
 
-    // Copies of the large version that crossed links between regions.
+    // Total bytes that crossed the links between regions so far.
     double region_bytes()
     {
         double sum = 0;
@@ -319,7 +324,7 @@
         return page["versions"][this->large.digest].value("bytes_sent", 0.0);
     }
 
-    double moved_bytes(scenario::vm const& machine)
+    double transferred_bytes(scenario::vm const& machine)
     {
         auto const page = metrics_page(machine);
         return counter(page, "foxtailvale_weights_drawn_bytes_total") +
@@ -339,13 +344,14 @@
         }
     }
 
-    void note_before()
+    void record_baseline()
     {
         this->region_before = this->region_bytes();
         this->for_each_agent(
             [this](scenario::vm const& machine)
             {
-                this->moved_before[machine.name] = this->moved_bytes(machine);
+                this->transferred_before[machine.name] =
+                    this->transferred_bytes(machine);
                 this->cpu_before[machine.name] = this->cpu(machine);
             });
     }
@@ -357,11 +363,11 @@
         return std::chrono::duration<double>(usage.processor).count();
     }
 
-    void note_after()
+    void record_results()
     {
         auto const size = static_cast<double>(this->settings.bytes);
         auto& into = this->result;
-        into.seconds_bound = this->bound();
+        into.seconds_bound = this->lower_bound_seconds();
         into.origin_copies = this->origin_bytes() / size;
         into.region_copies =
             (this->region_bytes() - this->region_before) / size;
@@ -369,8 +375,8 @@
         this->for_each_agent(
             [&](scenario::vm const& machine)
             {
-                auto const copies = (this->moved_bytes(machine) -
-                                     this->moved_before[machine.name]) /
+                auto const copies = (this->transferred_bytes(machine) -
+                                     this->transferred_before[machine.name]) /
                                     size;
                 into.vm_copies_mean += copies;
                 into.vm_copies_max = std::max(into.vm_copies_max, copies);
@@ -390,7 +396,7 @@
     standins::synthetic_weights small;
     standins::synthetic_weights large;
     double region_before = 0;
-    std::map<std::string, double> moved_before;
+    std::map<std::string, double> transferred_before;
     std::map<std::string, double> cpu_before;
     burst_result result;
 };
--- a/benchmarks/weights/src/burst.hpp
+++ b/benchmarks/weights/src/burst.hpp
@@ -10,7 +10,7 @@
 namespace foxtailvale::bench_weights
 {
 
-// One burst to be measured.
+// Parameters of one burst.
 struct burst_settings
 {
     scenario::fleet_paths paths;
@@ -21,22 +21,24 @@
     int domains = 3;
     int agents = 12;
     std::uint64_t bytes = 0;
-    // A burst that takes longer is recorded as not finished.
-    std::chrono::seconds longest{0};
+    // A burst that takes longer is recorded as unfinished.
+    std::chrono::seconds max_duration{0};
 };
 
-// What one burst showed.
+// Measured results of one burst.
 struct burst_result
 {
     bool finished = false;
-    // From the note's acceptance until the engines served the version.
+    // From the acceptance of the release note until all, or half, of the
+    // engines served the version.
     double seconds_all = 0;
     double seconds_half = 0;
-    // Bytes over the narrowest link at its full rate.
+    // Lower bound: time to transfer the version over the narrowest link at its
+    // full rate.
     double seconds_bound = 0;
     double origin_copies = 0;
     double region_copies = 0;
-    // Copies over a VM's link, in and out together.
+    // Copies of the version over a VM's network link, in and out together.
     double vm_copies_mean = 0;
     double vm_copies_max = 0;
     double agent_cpu_seconds = 0;
@@ -46,8 +48,8 @@
     std::uint64_t live_failed = 0;
 };
 
-// Runs a fleet of real processes, gives it a model, puts live load on it and
-// then releases a second, larger model to all engines at once.
+// Runs a fleet of real processes with one model under live load, and then
+// releases a second, larger model to all engines at once.
 burst_result measure_burst(burst_settings const& settings);
 
 } // namespace foxtailvale::bench_weights
--- a/benchmarks/weights/src/main.cpp
+++ b/benchmarks/weights/src/main.cpp
@@ -15,7 +15,7 @@
 using namespace foxtailvale;
 
 constexpr std::uint64_t mebibyte = 1024ULL * 1024;
-constexpr char const* head =
+constexpr char const* csv_header =
     "distribution,domains,agents,mib,finished,seconds_all,seconds_half,"
     "seconds_bound,ratio,origin_copies,region_copies,vm_copies_mean,"
     "vm_copies_max,agent_cpu_s,agent_peak_mib,live_p95_idle_ms,"
@@ -23,38 +23,39 @@
 
 std::string
 row(bench_weights::burst_settings const& settings,
-    bench_weights::burst_result const& seen)
+    bench_weights::burst_result const& result)
 {
-    constexpr std::size_t longest = 512;
-    char text[longest];
+    constexpr std::size_t max_row_bytes = 512;
+    char text[max_row_bytes];
     std::snprintf(
         text, sizeof text,
         "%s,%d,%d,%llu,%d,%.2f,%.2f,%.2f,%.2f,%.2f,%.2f,%.2f,%.2f,%.2f,%.1f,"
         "%.1f,%.1f,%llu,%u\n",
         settings.distribution.c_str(), settings.domains, settings.agents,
         static_cast<unsigned long long>(settings.bytes / mebibyte),
-        seen.finished ? 1 : 0, seen.seconds_all, seen.seconds_half,
-        seen.seconds_bound, seen.seconds_all / seen.seconds_bound,
-        seen.origin_copies, seen.region_copies, seen.vm_copies_mean,
-        seen.vm_copies_max, seen.agent_cpu_seconds, seen.agent_peak_mib,
-        seen.live_p95_idle_ms, seen.live_p95_burst_ms,
-        static_cast<unsigned long long>(seen.live_failed),
+        result.finished ? 1 : 0, result.seconds_all, result.seconds_half,
+        result.seconds_bound, result.seconds_all / result.seconds_bound,
+        result.origin_copies, result.region_copies, result.vm_copies_mean,
+        result.vm_copies_max, result.agent_cpu_seconds, result.agent_peak_mib,
+        result.live_p95_idle_ms, result.live_p95_burst_ms,
+        static_cast<unsigned long long>(result.live_failed),
         std::thread::hardware_concurrency());
     return text;
 }
 
-// Adds one row, so that a run that is broken off keeps what it measured.
+// Appends each row as soon as it is measured, so that an interrupted run keeps
+// its earlier results.
 void append(std::string const& path, std::string const& line)
 {
     auto const is_new = !std::filesystem::exists(path);
     std::ofstream file(path, std::ios::app);
-    file << (is_new ? head : "") << line;
+    file << (is_new ? csv_header : "") << line;
     std::cout << line << std::flush;
 }
 
 } // namespace
 
-int main(int count, char** words)
+int main(int count, char** arguments)
 {
     try
     {
@@ -86,7 +87,7 @@
         TCLAP::MultiArg<std::string> const distributions(
             "x", "distribution", "forest, swarm or origin", false, "NAME",
             line);
-        line.parse(count, words);
+        line.parse(count, arguments);
         auto const all_sizes = sizes.getValue().empty()
                                    ? std::vector<int>{12, 24, 48, 96}
                                    : sizes.getValue();
@@ -105,7 +106,8 @@
                 settings.domains = domains.getValue();
                 settings.agents = agents;
                 settings.bytes = size.getValue() * mebibyte;
-                settings.longest = std::chrono::seconds(longest.getValue());
+                settings.max_duration =
+                    std::chrono::seconds(longest.getValue());
                 append(
                     csv.getValue(),
                     row(settings, bench_weights::measure_burst(settings)));
@@ -113,9 +115,9 @@
         }
         return EXIT_SUCCESS;
     }
-    catch (std::exception const& fault)
+    catch (std::exception const& error)
     {
-        std::cerr << "foxtailvale-bench-weights: " << fault.what() << "\n";
+        std::cerr << "foxtailvale-bench-weights: " << error.what() << "\n";
         return EXIT_FAILURE;
     }
 }
