--- a/libs/base/include/base/boot_clock.hpp
+++ b/libs/base/include/base/boot_clock.hpp
@@ -12,7 +12,7 @@
 // before would look fresh after it.
 struct boot_time
 {
-    std::chrono::nanoseconds since_start{0};
+    std::chrono::nanoseconds since_boot{0};
 
     auto operator<=>(boot_time const&) const = default;
 };
@@ -21,18 +21,18 @@
 
 inline boot_time operator-(boot_time one, std::chrono::milliseconds span)
 {
-    return {one.since_start - span};
+    return {one.since_boot - span};
 }
 
 inline boot_time operator+(boot_time one, std::chrono::milliseconds span)
 {
-    return {one.since_start + span};
+    return {one.since_boot + span};
 }
 
 inline std::chrono::milliseconds operator-(boot_time one, boot_time other)
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(
-        one.since_start - other.since_start);
+        one.since_boot - other.since_boot);
 }
 
 } // namespace foxtailvale::base
--- a/libs/direct/tests/watch_duty_tests.cpp
+++ b/libs/direct/tests/watch_duty_tests.cpp
@@ -56,7 +56,7 @@
     {
         for (milliseconds passed{0}; passed < time; passed += step)
         {
-            this->now.since_start += step;
+            this->now.since_boot += step;
             this->run_step();
         }
     }
--- a/libs/gateway/src/entry_context.cpp
+++ b/libs/gateway/src/entry_context.cpp
@@ -23,7 +23,7 @@
     auto const running = std::chrono::duration_cast<std::chrono::milliseconds>(
         std::chrono::steady_clock::now().time_since_epoch());
     return std::chrono::duration_cast<std::chrono::milliseconds>(
-               base::boot_now().since_start) -
+               base::boot_now().since_boot) -
            running;
 }
 
