--- a/libs/control/src/membership.cpp
+++ b/libs/control/src/membership.cpp
@@ -16,7 +16,7 @@
     auto const role = reader.text("role");
     if (role != "entry" && role != "agent")
     {
-        reader.complain("role", "must be \"entry\" or \"agent\"");
+        reader.add_fault("role", "must be \"entry\" or \"agent\"");
     }
     vm.role = role == "entry" ? vm_role::entry : vm_role::agent;
     vm.failure_domain = reader.text("failure_domain");
--- a/libs/release/include/release/object_reader.hpp
+++ b/libs/release/include/release/object_reader.hpp
@@ -59,7 +59,7 @@
     object_reader element(std::string_view key, std::size_t index);
 
     // Adds a fault at the key, or at this object when the key is absent.
-    void complain(std::string_view key, std::string what);
+    void add_fault(std::string_view key, std::string what);
 
     // Adds a fault for each key nobody asked for. Call last.
     void finish();
--- a/libs/release/src/object_reader.cpp
+++ b/libs/release/src/object_reader.cpp
@@ -41,7 +41,7 @@
 {
     if (this->object != nullptr && !this->object->is_object())
     {
-        this->complain("", "must be an object");
+        this->add_fault("", "must be an object");
         this->object = nullptr;
     }
 }
@@ -69,7 +69,7 @@
     }
 }
 
-void object_reader::complain(std::string_view key, std::string what)
+void object_reader::add_fault(std::string_view key, std::string what)
 {
     auto const where = this->path_of(key);
     this->faults->push_back({this->position_of(where), where, std::move(what)});
@@ -89,7 +89,7 @@
 {
     if (this->value_at(key) == nullptr)
     {
-        this->complain(key, "is missing");
+        this->add_fault(key, "is missing");
         return {};
     }
     return this->text_or(key, {});
@@ -104,7 +104,7 @@
     }
     if (!value->is_string() || value->get_ref<std::string const&>().empty())
     {
-        this->complain(key, "must be a text that is not empty");
+        this->add_fault(key, "must be a text that is not empty");
         return fallback;
     }
     return value->get<std::string>();
@@ -115,7 +115,7 @@
 {
     if (this->value_at(key) == nullptr)
     {
-        this->complain(key, "is missing");
+        this->add_fault(key, "is missing");
         return least;
     }
     return this->number_or(key, least, least, most);
@@ -134,13 +134,13 @@
     }
     if (!value->is_number_unsigned())
     {
-        this->complain(key, range_text(least, most));
+        this->add_fault(key, range_text(least, most));
         return fallback;
     }
     auto const number = value->get<std::uint64_t>();
     if (number < least || number > most)
     {
-        this->complain(key, range_text(least, most));
+        this->add_fault(key, range_text(least, most));
         return fallback;
     }
     return number;
@@ -169,7 +169,7 @@
     }
     if (!value->is_boolean())
     {
-        this->complain(key, "must be true or false");
+        this->add_fault(key, "must be true or false");
         return fallback;
     }
     return value->get<bool>();
@@ -185,14 +185,14 @@
     }
     if (!value->is_array())
     {
-        this->complain(key, "must be a list of texts");
+        this->add_fault(key, "must be a list of texts");
         return texts;
     }
     for (auto const& element : *value)
     {
         if (!element.is_string())
         {
-            this->complain(key, "must hold texts only");
+            this->add_fault(key, "must hold texts only");
             continue;
         }
         texts.push_back(element.get<std::string>());
@@ -235,7 +235,7 @@
     }
     if (!value->is_array())
     {
-        this->complain(key, "must be a list");
+        this->add_fault(key, "must be a list");
         return 0;
     }
     return value->size();
@@ -257,7 +257,7 @@
     {
         if (!this->known.contains(name))
         {
-            this->complain(name, "is not a known key");
+            this->add_fault(name, "is not a known key");
         }
     }
 }
--- a/libs/release/src/release_note.cpp
+++ b/libs/release/src/release_note.cpp
@@ -76,7 +76,7 @@
         auto const state = reader.text(name);
         if (state != "in" && state != "out")
         {
-            reader.complain(name, "must be \"in\" or \"out\"");
+            reader.add_fault(name, "must be \"in\" or \"out\"");
         }
         states.emplace(name, state == "in");
     }
@@ -103,7 +103,7 @@
         {
             if (into.contains(name))
             {
-                this->complain("added", section, name, "is there already");
+                this->add_fault("added", section, name, "is there already");
             }
             this->put(into, name, entry);
         }
@@ -119,7 +119,7 @@
         {
             if (!into.contains(name))
             {
-                this->complain("changed", section, name, "is not there");
+                this->add_fault("changed", section, name, "is not there");
             }
             this->put(into, name, entry);
         }
@@ -136,7 +136,7 @@
             if (from.erase(name) == 0)
             {
                 this->root.child("withdrawn")
-                    .complain(section, name + " is not there");
+                    .add_fault(section, name + " is not there");
             }
         }
     }
@@ -149,7 +149,7 @@
             if (found == this->value.domains.end())
             {
                 this->root.child("failure_domains")
-                    .complain(name, "is not a known failure domain");
+                    .add_fault(name, "is not a known failure domain");
                 continue;
             }
             found->second.in = in;
@@ -164,7 +164,7 @@
             this->check_replicas(name, model);
             if (!model.base.empty() && !this->value.models.contains(model.base))
             {
-                this->root.complain(
+                this->root.add_fault(
                     "", "adapter " + name + " names a base that is not there");
             }
         }
@@ -196,18 +196,18 @@
                 what += domain;
                 what += ", which is not a known failure domain: model ";
                 what += name;
-                this->root.complain("", what);
+                this->root.add_fault("", what);
             }
         }
     }
 
-    void complain(
+    void add_fault(
         std::string const& list,
         std::string const& section,
         std::string const& name,
         std::string const& what)
     {
-        this->root.child(list).child(section).complain(name, what);
+        this->root.child(list).child(section).add_fault(name, what);
     }
 
     std::uint64_t note;
@@ -222,7 +222,7 @@
     model.digest = reader.text("digest");
     if (!model.digest.empty() && !is_digest(model.digest))
     {
-        reader.complain("digest", "must be 64 lower-case hexadecimal digits");
+        reader.add_fault("digest", "must be 64 lower-case hexadecimal digits");
     }
     model.base = reader.text_or("base", "");
     auto replicas = reader.child("replicas");
@@ -267,7 +267,7 @@
     reader.finish();
     if (note.number <= note.follows)
     {
-        reader.complain("note", "must be larger than the note it follows");
+        reader.add_fault("note", "must be larger than the note it follows");
     }
     return note;
 }
@@ -280,7 +280,7 @@
     if (note.follows != in_force.generation)
     {
         object_reader(source, "", source.faults)
-            .complain(
+            .add_fault(
                 "follows",
                 "follows note " + std::to_string(note.follows) + ", but note " +
                     std::to_string(in_force.generation) + " is in force");
--- a/libs/release/src/settings.cpp
+++ b/libs/release/src/settings.cpp
@@ -30,7 +30,7 @@
     auto text = reader.text(key);
     if (!text.empty() && !text.starts_with("http://"))
     {
-        reader.complain(key, "must begin with http://");
+        reader.add_fault(key, "must begin with http://");
     }
     return text;
 }
@@ -101,7 +101,7 @@
     if (settings.distribution != "forest" && settings.distribution != "swarm" &&
         settings.distribution != "origin")
     {
-        reader.complain("distribution", "must be forest, swarm or origin");
+        reader.add_fault("distribution", "must be forest, swarm or origin");
     }
     settings.memory_mib = static_cast<std::uint32_t>(
         reader.number_or("memory_mib", 1024, 1, 16U * 1024U * 1024U));
--- a/tools/load/src/load_settings.cpp
+++ b/tools/load/src/load_settings.cpp
@@ -27,13 +27,13 @@
     settings.entries = reader.texts_or_empty("entries");
     if (settings.entries.empty())
     {
-        reader.complain("entries", "must name at least one entry");
+        reader.add_fault("entries", "must name at least one entry");
     }
     settings.readiness = reader.texts_or_empty("readiness");
     if (!settings.readiness.empty() &&
         settings.readiness.size() != settings.entries.size())
     {
-        reader.complain("readiness", "must be as long as entries, or absent");
+        reader.add_fault("readiness", "must be as long as entries, or absent");
     }
     for (std::size_t index = 0; index < reader.size("workspaces"); ++index)
     {
@@ -45,7 +45,7 @@
     }
     if (settings.workspaces.empty())
     {
-        reader.complain("workspaces", "must name at least one workspace");
+        reader.add_fault("workspaces", "must name at least one workspace");
     }
     settings.model = reader.text_or("model", "");
     settings.service = reader.text_or("service", "");
--- a/tools/scenario/src/scenario_file.cpp
+++ b/tools/scenario/src/scenario_file.cpp
@@ -62,14 +62,14 @@
     auto const row = std::ranges::find(kinds, word, &kind_row::name);
     if (row == kinds.end())
     {
-        reader.complain("do", "no such step: " + word);
+        reader.add_fault("do", "no such step: " + word);
         return step;
     }
     step.kind = row->kind;
     step.target = reader.text_or("target", "");
     if (row->needs_target && !is_known_target(fleet, step.target))
     {
-        reader.complain("target", "no such VM or failure domain");
+        reader.add_fault("target", "no such VM or failure domain");
     }
     step.length = reader.milliseconds_or(
         "for_ms", milliseconds(0), milliseconds(0), longest);
