--- a/fuzz/src/core_targets.cpp
+++ b/fuzz/src/core_targets.cpp
@@ -141,7 +141,7 @@
             "", "", "endpoint_full", "endpoint_lost", "version_mismatch"};
         auto const* const error = errors[this->choose.below(5)];
         output.set_error(error);
-        auto const kind = base::kind_named(error);
+        auto const kind = base::error_kind_from_name(error);
         if (*error != '\0' && base::row_of(kind).ran == base::ran_state::no)
         {
             this->shown_not_run(run);
--- a/libs/agent_core/src/transfer_flow.cpp
+++ b/libs/agent_core/src/transfer_flow.cpp
@@ -108,7 +108,7 @@
     }
     drop_pending(state, transfer, index);
     transfer.declined[index][peer] = now + decline_time;
-    auto const kind = base::kind_named(reply.error());
+    auto const kind = base::error_kind_from_name(reply.error());
     out.push_back(core::count_retry{kind});
     if (kind == base::error_kind::bad_digest)
     {
--- a/libs/agent_core/tests/request_flow_tests.cpp
+++ b/libs/agent_core/tests/request_flow_tests.cpp
@@ -83,7 +83,7 @@
     auto const actions = step(agent, run_message(1, "d0"), {});
     auto const* const output = find_output(actions);
     ASSERT_NE(output, nullptr);
-    auto const kind = base::kind_named(output->error());
+    auto const kind = base::error_kind_from_name(output->error());
     EXPECT_EQ(kind, base::error_kind::version_mismatch);
     EXPECT_EQ(base::row_of(kind).ran, base::ran_state::no);
 }
--- a/libs/base/include/base/error.hpp
+++ b/libs/base/include/base/error.hpp
@@ -126,7 +126,7 @@
 error_row const& row_of(error_kind kind);
 
 // The kind with the given stable name; internal when there is none.
-error_kind kind_named(std::string_view name);
+error_kind error_kind_from_name(std::string_view name);
 
 // "no", "yes" or "unknown", as callers read it.
 std::string_view to_string(ran_state ran);
--- a/libs/base/src/error.cpp
+++ b/libs/base/src/error.cpp
@@ -182,7 +182,7 @@
     return table[index];
 }
 
-error_kind kind_named(std::string_view name)
+error_kind error_kind_from_name(std::string_view name)
 {
     auto const found = std::ranges::find_if(
         table,
--- a/libs/base/tests/base_tests.cpp
+++ b/libs/base/tests/base_tests.cpp
@@ -24,7 +24,7 @@
         EXPECT_EQ(static_cast<std::size_t>(rows[index].kind), index);
         EXPECT_TRUE(names.insert(rows[index].name).second);
         EXPECT_TRUE(events.insert(rows[index].event).second);
-        EXPECT_EQ(kind_named(rows[index].name), rows[index].kind);
+        EXPECT_EQ(error_kind_from_name(rows[index].name), rows[index].kind);
     }
 }
 
--- a/libs/entry_core/src/attempt_flow.cpp
+++ b/libs/entry_core/src/attempt_flow.cpp
@@ -490,7 +490,7 @@
     if (!output.error().empty())
     {
         attempt_failed(
-            state, *open, {base::kind_named(output.error()), output.detail()},
+            state, *open, {base::error_kind_from_name(output.error()), output.detail()},
             now, out);
         return;
     }
--- a/libs/node/tests/caller_server_tests.cpp
+++ b/libs/node/tests/caller_server_tests.cpp
@@ -147,7 +147,7 @@
         ASSERT_TRUE(answer.has_value()) << name;
         EXPECT_EQ(answer.value().content_type, "application/problem+json");
         auto const problem = json::parse(answer.value().body);
-        auto const& row = base::row_of(base::kind_named(name));
+        auto const& row = base::row_of(base::error_kind_from_name(name));
         EXPECT_EQ(
             problem["type"], "urn:foxtailvale:problem:" + std::string(name));
         EXPECT_EQ(problem["ran"], "no");
--- a/tools/ctl/src/explain.cpp
+++ b/tools/ctl/src/explain.cpp
@@ -58,7 +58,7 @@
 
 base::error_row const& row_of(json const& body)
 {
-    return base::row_of(base::kind_named(text_of(body, "kind")));
+    return base::row_of(base::error_kind_from_name(text_of(body, "kind")));
 }
 
 // What came of a request at an engine on an older version.
