--- a/libs/node/src/caller_request_reader.cpp
+++ b/libs/node/src/caller_request_reader.cpp
@@ -63,7 +63,7 @@
                 "X-Deadline-Ms must be a whole number above zero");
         }
         auto const longest =
-            static_cast<std::uint64_t>(settings.longest_deadline.count());
+            static_cast<std::uint64_t>(settings.max_deadline.count());
         request.time_left = milliseconds(std::min(*value, longest));
     }
     auto const priority = header(raw, "x-priority");
--- a/libs/node/tests/caller_server_tests.cpp
+++ b/libs/node/tests/caller_server_tests.cpp
@@ -30,7 +30,7 @@
     made.caller_port = port;
     made.most_body_bytes = most_body;
     made.default_deadline = std::chrono::milliseconds(5000);
-    made.longest_deadline = std::chrono::milliseconds(5000);
+    made.max_deadline = std::chrono::milliseconds(5000);
     return made;
 }
 
--- a/libs/release/include/release/settings.hpp
+++ b/libs/release/include/release/settings.hpp
@@ -49,7 +49,7 @@
     // Deadline of a request that states none.
     std::chrono::milliseconds default_deadline{0};
     // Longest deadline accepted, which bounds a planned stop.
-    std::chrono::milliseconds longest_deadline{0};
+    std::chrono::milliseconds max_deadline{0};
 };
 
 struct agent_settings
--- a/libs/release/src/settings.cpp
+++ b/libs/release/src/settings.cpp
@@ -73,7 +73,7 @@
     settings.default_deadline = reader.milliseconds_or(
         "default_deadline_ms", milliseconds(30'000), milliseconds(10),
         milliseconds(3'600'000));
-    settings.longest_deadline = reader.milliseconds_or(
+    settings.max_deadline = reader.milliseconds_or(
         "longest_deadline_ms", milliseconds(120'000), milliseconds(10),
         milliseconds(3'600'000));
     reader.finish();
