--- a/libs/entry_core/include/entry_core/entry_core.hpp
+++ b/libs/entry_core/include/entry_core/entry_core.hpp
@@ -32,7 +32,7 @@
     std::string name;
     std::string failure_domain;
     std::string region;
-    std::uint32_t most_requests = 2048;
+    std::uint32_t max_requests = 2048;
     core::drain_limits drain_limits;
 };
 
--- a/libs/entry_core/src/request_flow.cpp
+++ b/libs/entry_core/src/request_flow.cpp
@@ -37,7 +37,7 @@
     {
         return base::error{error_kind::unknown_service, request.service};
     }
-    if (state.requests.open.size() >= state.self.most_requests)
+    if (state.requests.open.size() >= state.self.max_requests)
     {
         return base::error{error_kind::queue_full, {}};
     }
--- a/libs/node/src/entry_node.cpp
+++ b/libs/node/src/entry_node.cpp
@@ -45,7 +45,7 @@
     {
         this->core.self = {
             settings.node.name, settings.node.failure_domain,
-            settings.node.region, settings.most_requests};
+            settings.node.region, settings.max_requests};
         this->core.self.drain_limits.grace = settings.node.stop_grace;
         this->core.random.value = base::entropy_seed();
     }
--- a/libs/release/include/release/settings.hpp
+++ b/libs/release/include/release/settings.hpp
@@ -43,7 +43,7 @@
     node_settings node;
     std::uint16_t caller_port = 0;
     // Most requests that wait or run in this entry at once.
-    std::uint32_t most_requests = 2048;
+    std::uint32_t max_requests = 2048;
     // Largest body that a caller may send, in bytes.
     std::uint64_t most_body_bytes = 0;
     // Deadline of a request that states none.
--- a/libs/release/src/settings.cpp
+++ b/libs/release/src/settings.cpp
@@ -66,8 +66,8 @@
     entry_settings settings;
     settings.node = read_node(reader, entry_stop_grace);
     settings.caller_port = read_port(reader, "caller_port");
-    settings.most_requests = static_cast<std::uint32_t>(
-        reader.number_or("most_requests", settings.most_requests, 1, 100'000));
+    settings.max_requests = static_cast<std::uint32_t>(
+        reader.number_or("most_requests", settings.max_requests, 1, 100'000));
     settings.most_body_bytes =
         reader.number_or("most_body_bytes", mebibyte, 1024, 64 * mebibyte);
     settings.default_deadline = reader.milliseconds_or(
