--- a/libs/base/include/base/boot_clock.hpp
+++ b/libs/base/include/base/boot_clock.hpp
@@ -7,9 +7,10 @@
 namespace foxtailvale::base
 {
 
-// Time since the machine's start with the time that it was suspended. The
-// steady clock stands still while a VM is suspended, so what was confirmed
-// before would look fresh after it.
+// Time since the machine booted, including the time it was suspended
+// (CLOCK_BOOTTIME). The steady clock does not advance while a VM is suspended,
+// so state that was confirmed before the suspension would still look fresh
+// after it.
 struct boot_time
 {
     std::chrono::nanoseconds since_boot{0};
@@ -19,20 +20,20 @@
 
 boot_time boot_now();
 
-inline boot_time operator-(boot_time one, std::chrono::milliseconds span)
+inline boot_time operator-(boot_time left, std::chrono::milliseconds offset)
 {
-    return {one.since_boot - span};
+    return {left.since_boot - offset};
 }
 
-inline boot_time operator+(boot_time one, std::chrono::milliseconds span)
+inline boot_time operator+(boot_time left, std::chrono::milliseconds offset)
 {
-    return {one.since_boot + span};
+    return {left.since_boot + offset};
 }
 
-inline std::chrono::milliseconds operator-(boot_time one, boot_time other)
+inline std::chrono::milliseconds operator-(boot_time left, boot_time right)
 {
     return std::chrono::duration_cast<std::chrono::milliseconds>(
-        one.since_boot - other.since_boot);
+        left.since_boot - right.since_boot);
 }
 
 } // namespace foxtailvale::base
--- a/libs/base/include/base/digest.hpp
+++ b/libs/base/include/base/digest.hpp
@@ -11,8 +11,8 @@
 // SHA-256 of the bytes, as 64 lower-case hexadecimal digits.
 std::string sha256_hex(std::string_view bytes);
 
-// A fast 64-bit hash for placing and ordering, the same on every process.
-// Not for identity: weights are named by sha256_hex.
+// Fast 64-bit hash for placement and ordering, the same in every process. Not
+// to be used as an identity: weights are identified by sha256_hex().
 std::uint64_t stable_hash(std::string_view bytes, std::uint64_t seed = 0);
 
 } // namespace foxtailvale::base
--- a/libs/base/include/base/error.hpp
+++ b/libs/base/include/base/error.hpp
@@ -13,11 +13,11 @@
 namespace foxtailvale::base
 {
 
-// The closed list of everything that can go wrong for a caller, an operator
-// or a peer. Each kind has exactly one row in the error table.
+// The closed list of errors that callers, operators and peers can get. Each
+// kind has exactly one row in the error table.
 enum class error_kind
 {
-    // Faults of the request itself.
+    // Errors in the request itself.
     malformed_request,
     request_too_large,
     missing_workspace,
@@ -29,7 +29,7 @@
     no_region,
     head_too_large,
     head_timed_out,
-    // Refusals under load or change; the request was not run.
+    // Refusals because of load or an ongoing change; the request was not run.
     queue_full,
     deadline_unreachable,
     workspace_over_share,
@@ -48,13 +48,13 @@
     answer_not_kept,
     no_configuration,
     stale_configuration,
-    // Failures after the request may have begun.
+    // Failures after the request may have started to run.
     endpoint_lost,
     endpoint_failed,
     outcome_unknown,
     deadline_passed,
     caller_gone,
-    // Faults between the system's processes and the platform.
+    // Errors between the system's processes and the platform.
     peer_unreachable,
     bad_frame,
     unknown_peer,
@@ -64,18 +64,18 @@
     platform_conflict,
     platform_refused,
     not_found,
-    // Faults of weights.
+    // Errors of weights.
     bad_digest,
     origin_unavailable,
     origin_refused,
-    // Faults of an operator's input.
+    // Errors in an operator's input.
     bad_settings,
     bad_release_note,
-    // A defect of this program.
+    // A bug in this program.
     internal,
 };
 
-// Whether a request that ended with an error was run by an endpoint.
+// Whether an endpoint ran a request that ended with an error.
 enum class ran_state
 {
     no,
@@ -83,52 +83,54 @@
     unknown,
 };
 
-// One row of the error table: what each side is told about an error kind.
+// One row of the error table: how an error kind is reported to callers,
+// operators and peers.
 struct error_row
 {
     error_kind kind;
-    // Stable name: problem type, counter label and docs/ERRORS.md heading.
+    // Stable name, used as problem type, counter label and heading in
+    // docs/ERRORS.md.
     std::string_view name;
-    // HTTP status towards callers.
+    // HTTP status sent to callers.
     int status;
     ran_state ran;
-    // When the caller may come back; zero means that a repeat cannot help.
+    // Delay after which the caller may retry; zero if a retry cannot succeed.
     std::chrono::milliseconds retry_after;
     // Event number, see docs/EVENTS.md.
     int event;
-    // One sentence for people.
+    // One-sentence description for human readers.
     std::string_view title;
 };
 
-// An error with the detail that names the case at hand.
+// An error kind with details of the specific case.
 struct error
 {
     error_kind kind = error_kind::internal;
     std::string detail;
 };
 
-// A value or an error; reading the wrong side ends the process, since it is a
-// defect and not a condition.
+// A value or an error. Reading the side that is not set terminates the process,
+// because it is a programming error.
 template <class Value>
 using result = boost::outcome_v2::
     basic_result<Value, error, boost::outcome_v2::policy::terminate>;
 
-// Makes a failure for returning from a function that yields a result.
+// Makes a failure to return from a function that returns a result.
 inline auto fail(error_kind kind, std::string detail = {})
 {
     return boost::outcome_v2::failure(error{kind, std::move(detail)});
 }
 
-// The whole table, in the order of the list.
+// The complete table, in the order of error_kind.
 std::span<error_row const> error_table();
 
 // The row of one kind.
 error_row const& row_of(error_kind kind);
 
-// The kind with the given stable name; internal when there is none.
+// Returns the kind with the given stable name, or internal if there is none.
 error_kind error_kind_from_name(std::string_view name);
 
-// "no", "yes" or "unknown", as callers read it.
+// Returns "no", "yes" or "unknown", the form that callers get.
 std::string_view to_string(ran_state ran);
 
 } // namespace foxtailvale::base
--- a/libs/base/include/base/ids.hpp
+++ b/libs/base/include/base/ids.hpp
@@ -13,13 +13,13 @@
 namespace foxtailvale::base
 {
 
-// The monotonic time that every decision uses; wall-clock time decides
-// nothing, since VMs' clocks differ and jump.
+// Monotonic time, which all decisions are based on. Wall-clock time is not used
+// for decisions, since the clocks of VMs differ and jump.
 using time_point = std::chrono::steady_clock::time_point;
 using duration = std::chrono::steady_clock::duration;
 
-// Names one attempt to run a request on one endpoint. 128 random bits: no
-// late reply of another attempt can carry the same id.
+// Identifies one attempt to run a request on one endpoint. 128 random bits, so
+// that a late reply to another attempt cannot carry the same ID.
 struct attempt_id
 {
     std::uint64_t high = 0;
@@ -28,16 +28,17 @@
     auto operator<=>(attempt_id const&) const = default;
 };
 
-// Draws a new attempt id.
+// Generates a random attempt ID.
 attempt_id make_attempt_id(random_state& random);
 
 // 32 hexadecimal digits.
 std::string to_string(attempt_id id);
 
-// Reads what to_string wrote; nothing when it is not such a text.
+// Parses the output of to_string(); returns std::nullopt for any other text.
 std::optional<attempt_id> parse_attempt_id(std::string_view text);
 
-// Seed for a process's generators, from the machine's entropy.
+// Returns a seed for the process's random number generators, read from the
+// system's entropy source.
 std::uint64_t entropy_seed();
 
 } // namespace foxtailvale::base
--- a/libs/base/include/base/random.hpp
+++ b/libs/base/include/base/random.hpp
@@ -6,17 +6,17 @@
 namespace foxtailvale::base
 {
 
-// A small seeded generator kept inside a core's state, so that a replayed
-// trace makes the same choices.
+// State of a small seeded pseudo-random generator. It is kept inside the state
+// of a core, so that replaying a trace makes the same choices.
 struct random_state
 {
     std::uint64_t value = 1;
 };
 
-// The next 64 random bits.
+// Advances the state and returns the next 64 pseudo-random bits.
 std::uint64_t next_random(random_state& state);
 
-// A whole number below the bound; the bound must not be zero.
+// Returns an integer in [0, bound). The bound must not be zero.
 std::uint64_t random_below(random_state& state, std::uint64_t bound);
 
 } // namespace foxtailvale::base
--- a/libs/base/src/boot_clock.cpp
+++ b/libs/base/src/boot_clock.cpp
@@ -7,11 +7,11 @@
 
 boot_time boot_now()
 {
-    timespec read{};
-    clock_gettime(CLOCK_BOOTTIME, &read);
+    timespec now{};
+    clock_gettime(CLOCK_BOOTTIME, &now);
     return {
-        std::chrono::seconds(read.tv_sec) +
-        std::chrono::nanoseconds(read.tv_nsec)};
+        std::chrono::seconds(now.tv_sec) +
+        std::chrono::nanoseconds(now.tv_nsec)};
 }
 
 } // namespace foxtailvale::base
--- a/libs/base/src/digest.cpp
+++ b/libs/base/src/digest.cpp
@@ -8,11 +8,11 @@
 
 std::string sha256_hex(std::string_view bytes)
 {
-    // Failure: POCO takes OpenSSL's locks down with the last digest that is
-    // alive, while another thread begins one: the process ends with a
-    // segmentation fault. This one initializer lives as long as the process, so
-    // that no digest is ever the last.
-    static Poco::Crypto::OpenSSLInitializer const keep_initialized;
+    // Failure: POCO releases OpenSSL's locks when the last live digest is
+    // destroyed. If another thread creates a digest at that moment, the process
+    // ends with a segmentation fault. This initializer lives as long as the
+    // process, so no digest is ever the last user of the locks.
+    static Poco::Crypto::OpenSSLInitializer const openssl_initializer;
     Poco::Crypto::DigestEngine engine("SHA256");
     engine.update(bytes.data(), bytes.size());
     return Poco::DigestEngine::digestToHex(engine.digest());
@@ -20,13 +20,14 @@
 
 std::uint64_t stable_hash(std::string_view bytes, std::uint64_t seed)
 {
-    // FNV-1a with a final mix, so that close names land far apart.
+    // FNV-1a with a final mix, so that similar names get widely different
+    // hashes.
     constexpr std::uint64_t offset = 14695981039346656037U;
     constexpr std::uint64_t prime = 1099511628211U;
     std::uint64_t hash = offset ^ (seed * prime);
-    for (char const letter : bytes)
+    for (char const byte : bytes)
     {
-        hash ^= static_cast<unsigned char>(letter);
+        hash ^= static_cast<unsigned char>(byte);
         hash *= prime;
     }
     hash ^= hash >> 33U;
--- a/libs/base/src/ids.cpp
+++ b/libs/base/src/ids.cpp
@@ -16,8 +16,8 @@
 {
     std::uint64_t value = 0;
     auto const* const end = text.data() + text.size();
-    auto const read = std::from_chars(text.data(), end, value, 16);
-    if (read.ec != std::errc() || read.ptr != end)
+    auto const parsed = std::from_chars(text.data(), end, value, 16);
+    if (parsed.ec != std::errc() || parsed.ptr != end)
     {
         return std::nullopt;
     }
--- a/libs/base/src/random.cpp
+++ b/libs/base/src/random.cpp
@@ -7,7 +7,8 @@
 
 std::uint64_t next_random(random_state& state)
 {
-    // SplitMix64: one word of state, good enough for load spreading.
+    // SplitMix64: one 64-bit word of state; its quality is sufficient for load
+    // spreading.
     state.value += 0x9e3779b97f4a7c15U;
     std::uint64_t mixed = state.value;
     mixed = (mixed ^ (mixed >> 30U)) * 0xbf58476d1ce4e5b9U;
--- a/libs/base/tests/base_tests.cpp
+++ b/libs/base/tests/base_tests.cpp
@@ -28,21 +28,22 @@
     }
 }
 
-TEST(digest, matches_the_published_vector)
+TEST(digest, matches_the_published_test_vector)
 {
     EXPECT_EQ(
         sha256_hex("abc"),
         "ba7816bf8f01cfea414140de5dae2223b00361a396177a9cb410ff61f20015ad");
 }
 
-// Forty engines verify chunks at the same time. The whole process ended with a
-// segmentation fault, and every answer on it was lost: each digest took down
-// OpenSSL's locks when it was the last one alive, while another began.
-TEST(digest, is_the_same_from_many_threads)
+// Guards against a segmentation fault when threads compute digests
+// concurrently, as when forty engines verify chunks at the same time. The last
+// live digest released OpenSSL's locks while another thread created a digest;
+// the whole process crashed and every answer in progress on it was lost.
+TEST(digest, is_correct_from_concurrent_threads)
 {
     constexpr int rounds = 50'000;
-    auto const wanted = sha256_hex("abc");
-    std::atomic<int> wrong{0};
+    auto const expected = sha256_hex("abc");
+    std::atomic<int> mismatches{0};
     std::vector<std::thread> threads;
     for (int thread = 0; thread < 2; ++thread)
     {
@@ -51,7 +52,7 @@
             {
                 for (int round = 0; round < rounds; ++round)
                 {
-                    wrong += sha256_hex("abc") == wanted ? 0 : 1;
+                    mismatches += sha256_hex("abc") == expected ? 0 : 1;
                 }
             });
     }
@@ -59,10 +60,10 @@
     {
         thread.join();
     }
-    EXPECT_EQ(wrong, 0);
+    EXPECT_EQ(mismatches, 0);
 }
 
-TEST(ids, attempt_id_survives_text)
+TEST(ids, attempt_id_round_trips_through_text)
 {
     random_state random{7};
     auto const id = make_attempt_id(random);
