--- a/libs/kernel/include/kernel/events.hpp
+++ b/libs/kernel/include/kernel/events.hpp
@@ -13,8 +13,8 @@
 namespace foxtailvale::kernel
 {
 
-// Numbered log events beside those of the error table. docs/EVENTS.md is the
-// catalogue of both.
+// Numbered log events in addition to those of the error table. docs/EVENTS.md
+// lists both.
 enum class event_id
 {
     process_started = 1001,
@@ -67,39 +67,41 @@
     domain_in = 1502,
 };
 
-// One row of the catalogue.
+// One row of the event catalogue.
 struct event_row
 {
     event_id id;
     std::string_view name;
 };
 
-// All events of this list, in order of number.
+// All events of event_id, ordered by number.
 std::span<event_row const> event_table();
 
-// Where a process writes its log lines.
+// Destination of a process's log lines.
 enum class log_target
 {
     standard_error,
-    // Never waits for a reader: a line that does not fit is left out, and
-    // so are more than most_lines_a_second of one event. What was left out is
-    // told by log_lines_left_out once a second.
+    // Never blocks on the reader: a line is left out if it does not fit into
+    // the pipe, or if max_lines_per_second lines of the same event were already
+    // written in this second. The event log_lines_left_out reports the number
+    // of lines left out, at most once a second.
     standard_output,
 };
 
-inline constexpr std::uint32_t most_lines_a_second = 100;
+inline constexpr std::uint32_t max_lines_per_second = 100;
 
-// Writes log lines of one process as JSON, one object a line. Call once,
-// before the first log line.
+// Sets up logging: the process's log lines are JSON, one object per line. Call
+// once, before the first log line.
 void start_logging(
     std::string const& process,
     std::string const& level,
     log_target target = log_target::standard_error);
 
-// Writes one event; fields must be an object.
+// Writes an event at level INFO. The fields must be a JSON object.
 void log_event(event_id id, nlohmann::json fields = nlohmann::json::object());
 
-// Writes an error under its table row's event number.
+// Writes an error at level WARN, under the event number of its row in the error
+// table.
 void log_error(
     base::error const& error, nlohmann::json fields = nlohmann::json::object());
 
--- a/libs/kernel/include/kernel/log_budget.hpp
+++ b/libs/kernel/include/kernel/log_budget.hpp
@@ -8,8 +8,9 @@
 namespace foxtailvale::kernel
 {
 
-// How many lines of each event were written in this second. Made for a burst of
-// refusals: writing a line for each takes the processor time that answers need.
+// Number of lines of each event written in the current second. The limit is for
+// bursts of refusals, where writing a line for each would take the processor
+// time that answers need.
 struct log_budget
 {
     std::int64_t second = 0;
@@ -17,17 +18,18 @@
     std::uint32_t left_out = 0;
 };
 
-// What becomes of a line.
-struct log_verdict
+// Whether a line may be written.
+struct log_decision
 {
     bool may_write = true;
-    // Lines left out in the seconds before, told once.
-    std::uint32_t lines = 0;
+    // Lines left out since they were last reported; set only on the first line
+    // of a second.
+    std::uint32_t left_out_lines = 0;
 };
 
-// Takes one line of the event into account.
-log_verdict
-take(log_budget& budget, int event, std::chrono::steady_clock::time_point now);
+// Counts one line of the event against the budget of the current second.
+log_decision admit_line(
+    log_budget& budget, int event, std::chrono::steady_clock::time_point now);
 
 } // namespace foxtailvale::kernel
 
--- a/libs/kernel/include/kernel/metrics.hpp
+++ b/libs/kernel/include/kernel/metrics.hpp
@@ -13,20 +13,21 @@
 namespace foxtailvale::kernel
 {
 
-// The process's Prometheus metrics. Safe to use from several threads.
+// The process's Prometheus metrics. Thread-safe.
 class metrics
 {
 public:
     metrics();
 
-    // Adds to a counter, named in full ("foxtailvale_..._total").
+    // Adds the amount to a counter. The name is the full metric name
+    // ("foxtailvale_..._total").
     void count(
         std::string const& name,
         std::map<std::string, std::string> labels,
         double amount = 1);
 
-    // Counts a refusal or failure by its stable reason; every kind has its
-    // time series from the start, so that zero can be told from absent.
+    // Counts a refusal or failure by its stable reason. The time series of all
+    // kinds exist from the start, so that zero can be told from absent.
     void count_error(base::error_kind kind);
 
     // Counts a retry by the reason of the attempt that failed.
@@ -38,11 +39,11 @@
         std::map<std::string, std::string> labels,
         double value);
 
-    // Adds a time to a histogram of milliseconds, with buckets from 5 ms to
-    // four seconds.
+    // Adds a duration to a histogram in milliseconds, with buckets from 5 ms to
+    // 4000 ms (four seconds).
     void observe(std::string const& name, std::chrono::milliseconds value);
 
-    // Text in the Prometheus exposition format.
+    // Returns all metrics in the Prometheus text exposition format.
     std::string expose() const;
 
 private:
--- a/libs/kernel/include/kernel/registry.hpp
+++ b/libs/kernel/include/kernel/registry.hpp
@@ -13,20 +13,20 @@
 namespace foxtailvale::kernel
 {
 
-// One service of a process: what it is called, what it needs to run, and how
-// it begins and ends. `instance` is what others get when they look it up.
+// One service of a process: its name, the names of the services it depends on,
+// and its start and stop functions. Lookups return `instance`.
 struct service
 {
     std::string name;
-    std::vector<std::string> needs;
+    std::vector<std::string> dependencies;
     std::function<void()> start;
     std::function<void()> stop;
     std::shared_ptr<void> instance;
     std::type_index type = typeid(void);
 };
 
-// The micro-kernel: services find each other by name, start after what they
-// need and stop before it. Used from one thread.
+// Holds the services of a process. Services look each other up by name; each
+// one starts after its dependencies and stops before them. Not thread-safe.
 class registry
 {
 public:
@@ -35,22 +35,22 @@
     registry(registry const&) = delete;
     registry& operator=(registry const&) = delete;
 
-    // Adds a service that is an object. Names are unique.
+    // Adds a service object. Names must be unique.
     template <class Service>
     void
     add(std::string name,
         std::shared_ptr<Service> instance,
-        std::vector<std::string> needs,
+        std::vector<std::string> dependencies,
         std::function<void()> start = {},
         std::function<void()> stop = {})
     {
         this->add_entry(service{
-            std::move(name), std::move(needs), std::move(start),
+            std::move(name), std::move(dependencies), std::move(start),
             std::move(stop), std::move(instance), typeid(Service)});
     }
 
-    // The service of that name; asserts that it is there with that type,
-    // since a missing one is a defect of the program.
+    // Returns the service with this name. Asserts that it exists and has this
+    // type, since anything else is a programming error.
     template <class Service>
     std::shared_ptr<Service> get(std::string_view name) const
     {
@@ -58,14 +58,16 @@
             this->find(name, typeid(Service)));
     }
 
-    // Starts all services, each after what it needs. Fails with the name of a
-    // missing need or a cycle, before anything was started.
+    // Starts all services, each after its dependencies. If a dependency is
+    // missing or there is a cycle, returns an error that names it, without
+    // starting anything.
     base::result<void> start_all();
 
-    // Stops what was started, in reverse order. Safe to call again.
+    // Stops the started services in reverse order of their start. May be called
+    // repeatedly.
     void stop_all();
 
-    // Names in the order they were started.
+    // Names of the started services, in the order of their start.
     std::vector<std::string> started() const;
 
 private:
--- a/libs/kernel/src/events.cpp
+++ b/libs/kernel/src/events.cpp
@@ -81,9 +81,10 @@
     return instance;
 }
 
-std::string line(int number, std::string_view name, nlohmann::json fields)
+std::string
+format_line(int event_number, std::string_view name, nlohmann::json fields)
 {
-    fields["event"] = number;
+    fields["event"] = event_number;
     fields["name"] = name;
     fields["process"] = process_name();
     return fields.dump(
@@ -96,31 +97,31 @@
     return instance;
 }
 
-bool& is_bounded()
+bool& is_rate_limited()
 {
-    static bool bounded = false;
-    return bounded;
+    static bool rate_limited = false;
+    return rate_limited;
 }
 
-// Whether the line of this event may be written now; tells what was left out
-// when a new second begins.
-bool may_write(int number)
+// Whether a line of this event may be written now. On the first call of a new
+// second, also logs how many lines were left out before.
+bool may_write(int event_number)
 {
-    if (!is_bounded())
+    if (!is_rate_limited())
     {
         return true;
     }
-    auto const left_out =
-        take(budget(), number, std::chrono::steady_clock::now());
-    if (left_out.lines > 0)
+    auto const decision =
+        admit_line(budget(), event_number, std::chrono::steady_clock::now());
+    if (decision.left_out_lines > 0)
     {
-        auto const text = line(
+        auto const text = format_line(
             static_cast<int>(event_id::log_lines_left_out),
             "log_lines_left_out",
-            {{"lines", left_out.lines + unwritten_lines()}});
+            {{"lines", decision.left_out_lines + unwritten_lines()}});
         LOG4CXX_WARN(logger(), text);
     }
-    return left_out.may_write;
+    return decision.may_write;
 }
 
 } // namespace
@@ -137,11 +138,12 @@
     auto const layout = std::make_shared<log4cxx::PatternLayout>(
         "{\"time\":\"%d{yyyy-MM-ddTHH:mm:ss.SSSZ}\",\"level\":\"%p\","
         "\"body\":%m}%n");
-    is_bounded() = target == log_target::standard_output;
+    is_rate_limited() = target == log_target::standard_output;
     log4cxx::AppenderPtr const appender =
-        is_bounded() ? make_nonblocking_appender(STDOUT_FILENO, layout)
-                     : std::make_shared<log4cxx::ConsoleAppender>(
-                           layout, log4cxx::ConsoleAppender::getSystemErr());
+        is_rate_limited()
+            ? make_nonblocking_appender(STDOUT_FILENO, layout)
+            : std::make_shared<log4cxx::ConsoleAppender>(
+                  layout, log4cxx::ConsoleAppender::getSystemErr());
     logger()->removeAllAppenders();
     logger()->addAppender(appender);
     logger()->setAdditivity(false);
@@ -156,7 +158,7 @@
     }
     auto const found = std::ranges::find(catalogue, id, &event_row::id);
     auto const text =
-        line(static_cast<int>(id), found->name, std::move(fields));
+        format_line(static_cast<int>(id), found->name, std::move(fields));
     LOG4CXX_INFO(logger(), text);
 }
 
@@ -168,7 +170,7 @@
         return;
     }
     fields["detail"] = error.detail;
-    auto const text = line(row.event, row.name, std::move(fields));
+    auto const text = format_line(row.event, row.name, std::move(fields));
     LOG4CXX_WARN(logger(), text);
 }
 
--- a/libs/kernel/src/log_budget.cpp
+++ b/libs/kernel/src/log_budget.cpp
@@ -6,10 +6,10 @@
 namespace foxtailvale::kernel
 {
 
-log_verdict
-take(log_budget& budget, int event, std::chrono::steady_clock::time_point now)
+log_decision admit_line(
+    log_budget& budget, int event, std::chrono::steady_clock::time_point now)
 {
-    log_verdict verdict;
+    log_decision decision;
     auto const second =
         std::chrono::duration_cast<std::chrono::seconds>(now.time_since_epoch())
             .count();
@@ -17,11 +17,11 @@
     {
         budget.second = second;
         budget.written.clear();
-        verdict.lines = std::exchange(budget.left_out, 0);
+        decision.left_out_lines = std::exchange(budget.left_out, 0);
     }
     auto& written = budget.written[event];
-    verdict.may_write = written < most_lines_a_second;
-    if (verdict.may_write)
+    decision.may_write = written < max_lines_per_second;
+    if (decision.may_write)
     {
         ++written;
     }
@@ -29,7 +29,7 @@
     {
         ++budget.left_out;
     }
-    return verdict;
+    return decision;
 }
 
 } // namespace foxtailvale::kernel
--- a/libs/kernel/src/nonblocking_appender.cpp
+++ b/libs/kernel/src/nonblocking_appender.cpp
@@ -13,7 +13,8 @@
 namespace
 {
 
-// The library's macros name its namespaces without their outermost one.
+// The macros of log4cxx refer to its nested namespaces without the outermost
+// one.
 namespace helpers = log4cxx::helpers;
 namespace spi = log4cxx::spi;
 using log4cxx::LogString;
@@ -55,7 +56,7 @@
     {
         std::string text;
         this->getLayout()->format(text, event, pool);
-        // Only up to this size is a write to a pipe whole or not at all.
+        // Writes to a pipe are atomic only up to PIPE_BUF bytes.
         if (text.size() > PIPE_BUF)
         {
             text.resize(PIPE_BUF - 1);
@@ -88,9 +89,9 @@
 log4cxx::AppenderPtr
 make_nonblocking_appender(int descriptor, log4cxx::LayoutPtr layout)
 {
-    auto made = std::make_shared<nonblocking_appender>(descriptor);
-    made->setLayout(std::move(layout));
-    return made;
+    auto appender = std::make_shared<nonblocking_appender>(descriptor);
+    appender->setLayout(std::move(layout));
+    return appender;
 }
 
 std::uint32_t unwritten_lines()
--- a/libs/kernel/src/nonblocking_appender.hpp
+++ b/libs/kernel/src/nonblocking_appender.hpp
@@ -9,13 +9,14 @@
 namespace foxtailvale::kernel
 {
 
-// Writes each line to the descriptor without ever waiting for its reader. A
-// reader that stops reading must not stop the process; a line that does not fit
-// in the pipe is left out whole.
+// Returns an appender that writes each line to the file descriptor without ever
+// blocking on the reader: a reader that stops reading must not stop the
+// process. A line that does not fit into the pipe is left out entirely.
 log4cxx::AppenderPtr
 make_nonblocking_appender(int descriptor, log4cxx::LayoutPtr layout);
 
-// Lines that did not fit since the last call.
+// Returns the number of lines that did not fit into the pipe since the last
+// call.
 std::uint32_t unwritten_lines();
 
 } // namespace foxtailvale::kernel
--- a/libs/kernel/src/registry.cpp
+++ b/libs/kernel/src/registry.cpp
@@ -24,17 +24,18 @@
 
 enum class visit_state
 {
-    untouched,
-    open,
+    unvisited,
+    in_progress,
     done,
 };
 
-// Depth-first order: a service after all that it needs.
+// Finds the start order by a depth-first search: each service comes after its
+// dependencies.
 class start_planner
 {
 public:
     explicit start_planner(std::vector<service> const& all)
-        : services(all), states(all.size(), visit_state::untouched)
+        : services(all), states(all.size(), visit_state::unvisited)
     {
     }
 
@@ -55,23 +56,24 @@
             return boost::outcome_v2::success();
         }
         auto const& entry = this->services[index];
-        if (this->states[index] == visit_state::open)
+        if (this->states[index] == visit_state::in_progress)
         {
             return base::fail(
                 base::error_kind::internal,
-                "services need each other in a circle: " + entry.name);
+                "cyclic dependency between services, at " + entry.name);
         }
-        this->states[index] = visit_state::open;
-        for (auto const& need : entry.needs)
+        this->states[index] = visit_state::in_progress;
+        for (auto const& dependency : entry.dependencies)
         {
-            auto const needed = index_of(this->services, need);
-            if (!needed)
+            auto const dependency_index = index_of(this->services, dependency);
+            if (!dependency_index)
             {
                 return base::fail(
                     base::error_kind::internal,
-                    entry.name + " needs a missing service: " + need);
+                    entry.name +
+                        " depends on a missing service: " + dependency);
             }
-            BOOST_OUTCOME_TRYV(this->visit(*needed));
+            BOOST_OUTCOME_TRYV(this->visit(*dependency_index));
         }
         this->states[index] = visit_state::done;
         this->order.push_back(index);
--- a/libs/kernel/tests/metrics_tests.cpp
+++ b/libs/kernel/tests/metrics_tests.cpp
@@ -14,25 +14,25 @@
            std::string(base::row_of(kind).name) + "\"} " + value + "\n";
 }
 
-bool shows(metrics const& counters, std::string const& line)
+bool exposes_line(metrics const& counters, std::string const& line)
 {
     return counters.expose().find(line) != std::string::npos;
 }
 
 } // namespace
 
-// Operators watch refusals by reason. A kind whose counter is absent until it
-// first happens cannot be told from one that is not counted at all.
+// Operators monitor refusals by reason. A counter that does not exist until its
+// kind first occurs cannot be told from a kind that is not counted at all.
 TEST(metrics, every_error_kind_has_its_counters_from_the_start)
 {
     metrics const counters;
     for (auto const& row : base::error_table())
     {
-        EXPECT_TRUE(
-            shows(counters, series("foxtailvale_errors_total", row.kind, "0")))
+        EXPECT_TRUE(exposes_line(
+            counters, series("foxtailvale_errors_total", row.kind, "0")))
             << row.name;
-        EXPECT_TRUE(
-            shows(counters, series("foxtailvale_retries_total", row.kind, "0")))
+        EXPECT_TRUE(exposes_line(
+            counters, series("foxtailvale_retries_total", row.kind, "0")))
             << row.name;
     }
 }
@@ -46,7 +46,7 @@
         for (auto const& row : base::error_table())
         {
             auto const* const value = row.kind == counted.kind ? "1" : "0";
-            EXPECT_TRUE(shows(
+            EXPECT_TRUE(exposes_line(
                 counters, series("foxtailvale_errors_total", row.kind, value)))
                 << row.name;
         }
