--- a/libs/release/include/release/configuration.hpp
+++ b/libs/release/include/release/configuration.hpp
@@ -10,55 +10,56 @@
 namespace foxtailvale::release
 {
 
-// One model or adapter as released.
+// A model or adapter as released.
 struct model_release
 {
-    // SHA-256 of the manifest: the identity of the weights.
+    // SHA-256 of the manifest, which identifies the weights.
     std::string digest;
-    // For an adapter the model that it is loaded onto; else empty.
+    // For an adapter, the model that it is loaded onto; otherwise empty.
     std::string base;
-    // Replicas wanted per failure domain.
+    // Desired number of replicas per failure domain.
     std::map<std::string, std::uint32_t> replicas;
-    // Replicas per failure domain below which a roll-out must not take
-    // serving capacity.
+    // Number of replicas per failure domain below which a roll-out must not
+    // reduce serving capacity.
     std::uint32_t floor = 0;
-    // Running requests that one warm endpoint bears.
+    // Maximum number of requests that a warm endpoint can run at once.
     std::uint32_t limit = 8;
-    // Running requests that one cold endpoint bears.
+    // Maximum number of requests that a cold endpoint can run at once.
     std::uint32_t cold_limit = 1;
     // Memory on the endpoint, in MiB.
     std::uint32_t memory_mib = 0;
-    // Number of the note that said so last, for explaining.
+    // Number of the release note that last set this entry, for explaining
+    // decisions.
     std::uint64_t clause_note = 0;
 
     bool operator==(model_release const&) const = default;
 };
 
-// One plain service as released.
+// A plain service as released.
 struct service_release
 {
-    // Whether its calls may be repeated; those that carry out a booking, a
+    // Whether its calls may be retried. Calls that carry out a booking, a
     // payment or an invoice may not.
     bool repeatable = false;
-    // Running requests that one endpoint bears.
+    // Maximum number of requests that one endpoint can run at once.
     std::uint32_t limit = 8;
     std::uint64_t clause_note = 0;
 
     bool operator==(service_release const&) const = default;
 };
 
-// One failure domain as operators declared it.
+// A failure domain as declared by operators.
 struct domain_release
 {
     std::string region;
-    // False: operators took it out; it gets no new work.
+    // False if operators took it out of service; it then gets no new work.
     bool in = true;
     std::uint64_t clause_note = 0;
 
     bool operator==(domain_release const&) const = default;
 };
 
-// Share of one workspace under contention.
+// Share of a workspace under contention.
 struct workspace_release
 {
     std::uint32_t weight = 1;
@@ -66,8 +67,8 @@
     bool operator==(workspace_release const&) const = default;
 };
 
-// Everything that release notes have declared so far: what is in force. It
-// replaces a configuration of a lower generation as a whole.
+// The configuration in force: the result of all release notes so far. It
+// replaces a configuration of a lower generation completely.
 struct configuration
 {
     std::uint64_t generation = 0;
@@ -79,10 +80,10 @@
     bool operator==(configuration const&) const = default;
 };
 
-// The stored and sent form.
+// Returns the form that is stored and sent to peers.
 std::string to_text(configuration const& value);
 
-// Reads the stored form; bad_release_note when it is not one.
+// Parses the stored form. Fails with bad_release_note if the text is not valid.
 base::result<configuration> parse_configuration(std::string const& text);
 
 } // namespace foxtailvale::release
--- a/libs/release/include/release/document.hpp
+++ b/libs/release/include/release/document.hpp
@@ -11,41 +11,42 @@
 namespace foxtailvale::release
 {
 
-// Where a value stands in its file, both counted from 1.
+// Position of a value in its file; both numbers start at 1.
 struct position
 {
     std::size_t line = 1;
     std::size_t column = 1;
 };
 
-// One fault of an operator's file.
+// A fault in an operator's file.
 struct fault
 {
     position where;
-    // JSON pointer of the value, empty for the whole document.
+    // JSON pointer to the value; empty for the complete document.
     std::string path;
     std::string what;
 };
 
-// JSON with comments, together with the place of each value, so that every
-// later check can name line and column. Values that could not be read leave
-// faults; of two equal keys in an object each repeat is a fault.
+// A parsed document of JSON with comments, with the position of each value, so
+// that later checks can report line and column. Values that could not be read
+// leave faults; so does each repetition of a key in an object.
 struct document
 {
-    // What the text came from, for messages.
+    // Source of the text, for messages.
     std::string name;
     nlohmann::json value;
     std::map<std::string, position> positions;
     std::vector<fault> faults;
 };
 
-// Reads a text; never throws.
+// Parses a text. Never throws; errors become faults of the document.
 document parse_document(std::string name, std::string_view text);
 
-// Reads a file; a file that cannot be read is a fault of the document.
+// Reads a file. A file that cannot be read is a fault of the document.
 document load_document(std::string const& path);
 
-// "name:line:column: path: what", one line a fault, in order of place.
+// Formats each fault as one line, "name:line:column: path: what", ordered by
+// position.
 std::string describe(document const& source, std::vector<fault> const& faults);
 
 } // namespace foxtailvale::release
--- a/libs/release/include/release/release_note.hpp
+++ b/libs/release/include/release/release_note.hpp
@@ -12,7 +12,7 @@
 namespace foxtailvale::release
 {
 
-// One set of additions or changes of a note.
+// The entries that a note adds, or those that it changes.
 struct note_section
 {
     std::map<std::string, model_release> models;
@@ -21,7 +21,7 @@
     std::map<std::string, workspace_release> workspaces;
 };
 
-// What a note takes away, by name.
+// The entries that a note removes, by name.
 struct withdrawn_section
 {
     std::vector<std::string> models;
@@ -30,28 +30,30 @@
     std::vector<std::string> workspaces;
 };
 
-// An operator's release note, as kept in version control.
+// An operator's release note, as stored in version control.
 struct release_note
 {
     std::uint64_t number = 0;
-    // Number of the note in force that this one builds on; zero for the
-    // first.
+    // Number of the note in force that this note builds on; zero for the first
+    // note.
     std::uint64_t follows = 0;
     std::string summary;
     note_section added;
     note_section changed;
     withdrawn_section withdrawn;
-    // Failure domains to take out (false) or back in (true).
-    std::map<std::string, bool> domains_in;
+    // Failure domains to take out of service (false) or to return to service
+    // (true).
+    std::map<std::string, bool> domain_in_service;
 };
 
-// Reads a note and adds all its faults to the document's.
+// Reads a note and adds all its faults to those of the document.
 release_note read_release_note(document& source);
 
-// The configuration after the note: generation is the note's number. All
-// faults against the configuration in force (wrong follower, added twice,
-// changed or withdrawn but absent, unknown failure domain) are added to the
-// document; the result is meaningful only when there are none.
+// Returns the configuration after the note; its generation is the number of the
+// note. All conflicts with the configuration in force (the note follows another
+// one, adds an existing entry, changes or withdraws an absent one, or names an
+// unknown failure domain) are added to the document as faults. The result is
+// valid only if there are none.
 configuration apply_note(
     configuration const& in_force, release_note const& note, document& source);
 
--- a/libs/release/src/configuration.cpp
+++ b/libs/release/src/configuration.cpp
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-constexpr std::uint64_t largest_generation = 1ULL << 62U;
+constexpr std::uint64_t max_generation = 1ULL << 62U;
 
 json model_json(model_release const& model)
 {
@@ -61,9 +61,9 @@
     return value;
 }
 
-std::uint64_t read_clause(object_reader& reader)
+std::uint64_t read_clause_note(object_reader& reader)
 {
-    return reader.number_or("clause_note", 0, 0, largest_generation);
+    return reader.number_or("clause_note", 0, 0, max_generation);
 }
 
 template <class Release, class Function>
@@ -74,7 +74,7 @@
     {
         auto entry = reader.child(name);
         auto value = read(entry);
-        value.clause_note = read_clause(entry);
+        value.clause_note = read_clause_note(entry);
         entry.finish();
         entries.emplace(name, std::move(value));
     }
@@ -120,7 +120,7 @@
     auto faults = source.faults;
     configuration value;
     object_reader reader(source, "", faults);
-    value.generation = reader.number("generation", 0, largest_generation);
+    value.generation = reader.number("generation", 0, max_generation);
     value.models =
         read_section<model_release>(reader.child("models"), read_model);
     value.services =
--- a/libs/release/src/document.cpp
+++ b/libs/release/src/document.cpp
@@ -14,17 +14,17 @@
 
 using nlohmann::json;
 
-// Counts lines and columns as the parser consumes the text.
+// Tracks the line and column while the parser consumes the text.
 struct cursor
 {
     char const* at = nullptr;
     position where;
-    // Where it was one letter ago.
-    position before;
+    // Position of the previous character.
+    position previous;
 };
 
-// An input iterator over the text that keeps the shared cursor up to date;
-// nlohmann's parser has no positions of its own.
+// Input iterator over the text that updates the shared cursor, since nlohmann's
+// SAX interface does not report lines and columns.
 class counting_iterator
 {
 public:
@@ -35,19 +35,19 @@
     using reference = char const&;
 
     counting_iterator(char const* start, std::shared_ptr<cursor> shared)
-        : letter(start), state(std::move(shared))
+        : character(start), state(std::move(shared))
     {
     }
 
     reference operator*() const
     {
-        return *this->letter;
+        return *this->character;
     }
 
     counting_iterator& operator++()
     {
-        this->state->before = this->state->where;
-        if (*this->letter == '\n')
+        this->state->previous = this->state->where;
+        if (*this->character == '\n')
         {
             ++this->state->where.line;
             this->state->where.column = 0;
@@ -56,47 +56,48 @@
         {
             ++this->state->where.column;
         }
-        ++this->letter;
+        ++this->character;
         return *this;
     }
 
     bool operator==(counting_iterator const& other) const
     {
-        return this->letter == other.letter;
+        return this->character == other.character;
     }
 
     bool operator!=(counting_iterator const& other) const
     {
-        return this->letter != other.letter;
+        return this->character != other.character;
     }
 
 private:
-    char const* letter;
+    char const* character;
     std::shared_ptr<cursor> state;
 };
 
+// Escapes a key for use in a JSON pointer.
 std::string escaped(std::string const& key)
 {
     std::string text;
-    for (char const letter : key)
+    for (char const character : key)
     {
-        if (letter == '~')
+        if (character == '~')
         {
             text += "~0";
         }
-        else if (letter == '/')
+        else if (character == '/')
         {
             text += "~1";
         }
         else
         {
-            text += letter;
+            text += character;
         }
     }
     return text;
 }
 
-// Builds the value and its positions from the parser's events.
+// SAX handler that builds the value and records the position of each part.
 class document_builder : public json::json_sax_t
 {
 public:
@@ -107,32 +108,32 @@
 
     bool null() override
     {
-        return this->place(nullptr);
+        return this->add_value(nullptr);
     }
 
     bool boolean(bool value) override
     {
-        return this->place(value);
+        return this->add_value(value);
     }
 
     bool number_integer(number_integer_t value) override
     {
-        return this->place_number(value);
+        return this->add_number(value);
     }
 
     bool number_unsigned(number_unsigned_t value) override
     {
-        return this->place_number(value);
+        return this->add_number(value);
     }
 
     bool number_float(number_float_t value, string_t const& /*text*/) override
     {
-        return this->place_number(value);
+        return this->add_number(value);
     }
 
     bool string(string_t& value) override
     {
-        return this->place(value);
+        return this->add_value(value);
     }
 
     bool binary(binary_t& /*value*/) override
@@ -142,7 +143,7 @@
 
     bool start_object(std::size_t /*size*/) override
     {
-        return this->open(json::object());
+        return this->open_container(json::object());
     }
 
     bool end_object() override
@@ -153,7 +154,7 @@
 
     bool start_array(std::size_t /*size*/) override
     {
-        return this->open(json::array());
+        return this->open_container(json::array());
     }
 
     bool end_array() override
@@ -217,19 +218,19 @@
         return &((*parent.value)[parent.key] = std::move(value));
     }
 
-    bool place(json value)
+    bool add_value(json value)
     {
-        return this->place_at(std::move(value), this->state->where);
+        return this->add_value_at(std::move(value), this->state->where);
     }
 
-    // The parser sees the end of a number only by the letter after it, which
-    // may stand on the next line.
-    bool place_number(json value)
+    // The parser recognizes the end of a number only by the character after it,
+    // which may be on the next line; hence the previous position.
+    bool add_number(json value)
     {
-        return this->place_at(std::move(value), this->state->before);
+        return this->add_value_at(std::move(value), this->state->previous);
     }
 
-    bool place_at(json value, position where)
+    bool add_value_at(json value, position where)
     {
         std::string path;
         this->insert(std::move(value), path);
@@ -237,7 +238,7 @@
         return true;
     }
 
-    bool open(json value)
+    bool open_container(json value)
     {
         std::string path;
         auto* const inserted = this->insert(std::move(value), path);
--- a/libs/release/src/object_reader.cpp
+++ b/libs/release/src/object_reader.cpp
@@ -14,22 +14,23 @@
     return source.value.contains(pointer) ? &source.value.at(pointer) : nullptr;
 }
 
+// Escapes a key for use in a JSON pointer.
 std::string escaped(std::string_view key)
 {
     std::string text;
-    for (char const letter : key)
+    for (char const character : key)
     {
-        text += letter == '~'   ? "~0"
-                : letter == '/' ? "~1"
-                                : std::string(1, letter);
+        text += character == '~'   ? "~0"
+                : character == '/' ? "~1"
+                                   : std::string(1, character);
     }
     return text;
 }
 
-std::string range_text(std::uint64_t least, std::uint64_t most)
+std::string range_text(std::uint64_t min_value, std::uint64_t max_value)
 {
-    return "must be a whole number from " + std::to_string(least) + " to " +
-           std::to_string(most);
+    return "must be a whole number from " + std::to_string(min_value) + " to " +
+           std::to_string(max_value);
 }
 
 } // namespace
@@ -111,21 +112,21 @@
 }
 
 std::uint64_t object_reader::number(
-    std::string_view key, std::uint64_t least, std::uint64_t most)
+    std::string_view key, std::uint64_t min_value, std::uint64_t max_value)
 {
     if (this->value_at(key) == nullptr)
     {
         this->add_fault(key, "is missing");
-        return least;
+        return min_value;
     }
-    return this->number_or(key, least, least, most);
+    return this->number_or(key, min_value, min_value, max_value);
 }
 
 std::uint64_t object_reader::number_or(
     std::string_view key,
     std::uint64_t fallback,
-    std::uint64_t least,
-    std::uint64_t most)
+    std::uint64_t min_value,
+    std::uint64_t max_value)
 {
     auto const* const value = this->value_at(key);
     if (value == nullptr)
@@ -134,13 +135,13 @@
     }
     if (!value->is_number_unsigned())
     {
-        this->add_fault(key, range_text(least, most));
+        this->add_fault(key, range_text(min_value, max_value));
         return fallback;
     }
     auto const number = value->get<std::uint64_t>();
-    if (number < least || number > most)
+    if (number < min_value || number > max_value)
     {
-        this->add_fault(key, range_text(least, most));
+        this->add_fault(key, range_text(min_value, max_value));
         return fallback;
     }
     return number;
@@ -149,15 +150,15 @@
 std::chrono::milliseconds object_reader::milliseconds_or(
     std::string_view key,
     std::chrono::milliseconds fallback,
-    std::chrono::milliseconds least,
-    std::chrono::milliseconds most)
+    std::chrono::milliseconds min_value,
+    std::chrono::milliseconds max_value)
 {
     auto const count = [](std::chrono::milliseconds time)
     {
         return static_cast<std::uint64_t>(time.count());
     };
-    return std::chrono::milliseconds(
-        this->number_or(key, count(fallback), count(least), count(most)));
+    return std::chrono::milliseconds(this->number_or(
+        key, count(fallback), count(min_value), count(max_value)));
 }
 
 bool object_reader::flag_or(std::string_view key, bool fallback)
--- a/libs/release/src/release_note.cpp
+++ b/libs/release/src/release_note.cpp
@@ -8,11 +8,11 @@
 namespace
 {
 
-constexpr std::uint64_t largest_note = 1ULL << 62U;
-constexpr std::uint64_t most_replicas = 100'000;
-constexpr std::uint64_t most_limit = 10'000;
-constexpr std::uint64_t most_memory_mib = 16U * 1024U * 1024U;
-constexpr std::uint64_t most_weight = 1000;
+constexpr std::uint64_t max_note_number = 1ULL << 62U;
+constexpr std::uint64_t max_replicas = 100'000;
+constexpr std::uint64_t max_limit = 10'000;
+constexpr std::uint64_t max_memory_mib = 16U * 1024U * 1024U;
+constexpr std::uint64_t max_weight = 1000;
 constexpr std::size_t digest_length = 64;
 
 bool is_digest(std::string const& text)
@@ -21,7 +21,7 @@
            text.find_first_not_of("0123456789abcdef") == std::string::npos;
 }
 
-std::uint32_t narrow(std::uint64_t value)
+std::uint32_t to_uint32(std::uint64_t value)
 {
     return static_cast<std::uint32_t>(value);
 }
@@ -68,7 +68,7 @@
     return section;
 }
 
-std::map<std::string, bool> read_domains_in(object_reader reader)
+std::map<std::string, bool> read_domain_states(object_reader reader)
 {
     std::map<std::string, bool> states;
     for (auto const& name : reader.keys())
@@ -83,7 +83,8 @@
     return states;
 }
 
-// Collects the faults of a note against what is in force.
+// Applies a note to a configuration and collects the conflicts between the two
+// as faults.
 class note_applier
 {
 public:
@@ -229,14 +230,14 @@
     for (auto const& domain : replicas.keys())
     {
         model.replicas.emplace(
-            domain, narrow(replicas.number(domain, 0, most_replicas)));
+            domain, to_uint32(replicas.number(domain, 0, max_replicas)));
     }
-    model.floor = narrow(reader.number_or("floor", 0, 0, most_replicas));
-    model.limit = narrow(reader.number_or("limit", 8, 1, most_limit));
+    model.floor = to_uint32(reader.number_or("floor", 0, 0, max_replicas));
+    model.limit = to_uint32(reader.number_or("limit", 8, 1, max_limit));
     model.cold_limit =
-        narrow(reader.number_or("cold_limit", 1, 1, model.limit));
+        to_uint32(reader.number_or("cold_limit", 1, 1, model.limit));
     model.memory_mib =
-        narrow(reader.number_or("memory_mib", 0, 0, most_memory_mib));
+        to_uint32(reader.number_or("memory_mib", 0, 0, max_memory_mib));
     return model;
 }
 
@@ -244,26 +245,27 @@
 {
     service_release service;
     service.repeatable = reader.flag_or("repeatable", false);
-    service.limit = narrow(reader.number_or("limit", 8, 1, most_limit));
+    service.limit = to_uint32(reader.number_or("limit", 8, 1, max_limit));
     return service;
 }
 
 workspace_release read_workspace(object_reader& reader)
 {
-    return {narrow(reader.number_or("weight", 1, 1, most_weight))};
+    return {to_uint32(reader.number_or("weight", 1, 1, max_weight))};
 }
 
 release_note read_release_note(document& source)
 {
     release_note note;
     object_reader reader(source, "", source.faults);
-    note.number = reader.number("note", 1, largest_note);
-    note.follows = reader.number("follows", 0, largest_note);
+    note.number = reader.number("note", 1, max_note_number);
+    note.follows = reader.number("follows", 0, max_note_number);
     note.summary = reader.text_or("summary", "");
     note.added = read_section(reader.child("added"));
     note.changed = read_section(reader.child("changed"));
     note.withdrawn = read_withdrawn(reader.child("withdrawn"));
-    note.domains_in = read_domains_in(reader.child("failure_domains"));
+    note.domain_in_service =
+        read_domain_states(reader.child("failure_domains"));
     reader.finish();
     if (note.number <= note.follows)
     {
@@ -297,7 +299,7 @@
     applier.withdraw("services", note.withdrawn.services, value.services);
     applier.withdraw("domains", note.withdrawn.domains, value.domains);
     applier.withdraw("workspaces", note.withdrawn.workspaces, value.workspaces);
-    applier.set_domains(note.domains_in);
+    applier.set_domains(note.domain_in_service);
     applier.check_references();
     return std::move(value);
 }
--- a/libs/release/src/sections.hpp
+++ b/libs/release/src/sections.hpp
@@ -7,7 +7,8 @@
 namespace foxtailvale::release
 {
 
-// Readers of the sections that notes and configurations have in common.
+// Readers of entries that release notes and stored configurations have in
+// common.
 model_release read_model(object_reader& reader);
 service_release read_service(object_reader& reader);
 workspace_release read_workspace(object_reader& reader);
--- a/libs/release/src/settings.cpp
+++ b/libs/release/src/settings.cpp
@@ -9,20 +9,19 @@
 
 using std::chrono::milliseconds;
 
-constexpr std::uint64_t lowest_port = 1;
-constexpr std::uint64_t highest_port = 65535;
-constexpr std::uint64_t highest_mbit = 1'000'000;
-// The balancer polls readiness every second or so; entries hear of a leaving
-// agent by its next heartbeat.
-constexpr milliseconds entry_stop_grace{2000};
-constexpr milliseconds agent_stop_grace{1000};
-constexpr milliseconds longest_grace{60'000};
+constexpr std::uint64_t min_port = 1;
+constexpr std::uint64_t max_port = 65535;
+constexpr std::uint64_t max_mbit = 1'000'000;
+// The load balancer polls readiness about once a second; entries learn that an
+// agent is leaving from its next heartbeat.
+constexpr milliseconds default_entry_stop_grace{2000};
+constexpr milliseconds default_agent_stop_grace{1000};
+constexpr milliseconds max_stop_grace{60'000};
 constexpr std::uint64_t mebibyte = 1024U * 1024U;
 
 std::uint16_t read_port(object_reader& reader, std::string_view key)
 {
-    return static_cast<std::uint16_t>(
-        reader.number(key, lowest_port, highest_port));
+    return static_cast<std::uint16_t>(reader.number(key, min_port, max_port));
 }
 
 std::string read_base_address(object_reader& reader, std::string_view key)
@@ -46,7 +45,7 @@
     node.operator_port = read_port(reader, "operator_port");
     node.platform = read_base_address(reader, "platform");
     node.stop_grace = reader.milliseconds_or(
-        "stop_grace_ms", stop_grace, milliseconds(0), longest_grace);
+        "stop_grace_ms", stop_grace, milliseconds(0), max_stop_grace);
     node.log_level = reader.text_or("log_level", node.log_level);
     for (std::size_t index = 0; index < reader.size("address_rewrites");
          ++index)
@@ -64,7 +63,7 @@
 {
     object_reader reader(source, "", source.faults);
     entry_settings settings;
-    settings.node = read_node(reader, entry_stop_grace);
+    settings.node = read_node(reader, default_entry_stop_grace);
     settings.caller_port = read_port(reader, "caller_port");
     settings.max_requests = static_cast<std::uint32_t>(
         reader.number_or("most_requests", settings.max_requests, 1, 100'000));
@@ -84,7 +83,7 @@
 {
     object_reader reader(source, "", source.faults);
     agent_settings settings;
-    settings.node = read_node(reader, agent_stop_grace);
+    settings.node = read_node(reader, default_agent_stop_grace);
     settings.endpoint = read_base_address(reader, "endpoint");
     settings.service = reader.text_or("service", "");
     settings.origin = read_base_address(reader, "origin");
@@ -92,9 +91,9 @@
     settings.spool_bytes =
         mebibyte * reader.number_or("spool_mib", 512, 1, 1024U * 1024U);
     settings.upload_mbit = static_cast<std::uint32_t>(
-        reader.number_or("upload_mbit", 0, 0, highest_mbit));
+        reader.number_or("upload_mbit", 0, 0, max_mbit));
     settings.origin_link_mbit = static_cast<std::uint32_t>(
-        reader.number_or("origin_link_mbit", 0, 0, highest_mbit));
+        reader.number_or("origin_link_mbit", 0, 0, max_mbit));
     settings.live_reserve_percent = static_cast<std::uint32_t>(
         reader.number_or("live_reserve_percent", 8, 0, 90));
     settings.distribution = reader.text_or("distribution", "forest");
--- a/libs/release/tests/document_tests.cpp
+++ b/libs/release/tests/document_tests.cpp
@@ -5,7 +5,7 @@
 namespace foxtailvale::release
 {
 
-TEST(document, keeps_comments_out_and_positions_in)
+TEST(document, skips_comments_and_records_positions)
 {
     auto const source =
         parse_document("x", "{ // note\n \"a\": 1,\n \"a\": 2}");
@@ -14,7 +14,7 @@
     EXPECT_EQ(source.faults[0].where.line, 3U);
 }
 
-TEST(document, names_the_line_of_a_syntax_error)
+TEST(document, reports_the_line_of_a_syntax_error)
 {
     auto const source = parse_document("x", "{\n\"a\": \n}");
     ASSERT_EQ(source.faults.size(), 1U);
@@ -28,12 +28,12 @@
         "{\"name\": 3,\n \"peer_port\": 99999,\n \"colour\": \"red\"}");
     read_entry_settings(source);
     auto const text = describe(source, source.faults);
-    for (auto const* const wanted :
+    for (auto const* const expected :
          {"entry.json:1", "/name: must be a text", "entry.json:2",
           "/peer_port: must be a whole number", "entry.json:3",
           "/colour: is not a known key", "/caller_port: is missing"})
     {
-        EXPECT_NE(text.find(wanted), std::string::npos) << wanted << text;
+        EXPECT_NE(text.find(expected), std::string::npos) << expected << text;
     }
 }
 
--- a/libs/release/tests/release_note_tests.cpp
+++ b/libs/release/tests/release_note_tests.cpp
@@ -29,7 +29,7 @@
 
 } // namespace
 
-TEST(release_note, adds_and_takes_a_domain_out)
+TEST(release_note, adds_a_domain_and_takes_it_out)
 {
     auto const one = accept({}, first_note());
     EXPECT_EQ(one.generation, 1U);
@@ -40,7 +40,7 @@
     EXPECT_EQ(parse_configuration(to_text(two)).value(), two);
 }
 
-TEST(release_note, lists_all_faults_against_what_is_in_force)
+TEST(release_note, lists_all_conflicts_with_the_configuration_in_force)
 {
     auto const one = accept({}, first_note());
     auto source = parse_document("note", R"({"note": 5, "follows": 3,
@@ -50,11 +50,11 @@
     auto const note = read_release_note(source);
     apply_note(one, note, source);
     auto const text = describe(source, source.faults);
-    for (auto const* const wanted :
+    for (auto const* const expected :
          {"but note 1 is in force", "/changed/models/other: is not there",
           "64 lower-case", "gone is not there", "not a known failure domain"})
     {
-        EXPECT_NE(text.find(wanted), std::string::npos) << wanted;
+        EXPECT_NE(text.find(expected), std::string::npos) << expected;
     }
 }
 
--- a/libs/release/tests/settings_fixture_tests.cpp
+++ b/libs/release/tests/settings_fixture_tests.cpp
@@ -26,10 +26,11 @@
 
 } // namespace
 
-// An operator writes a settings file with faults and runs the entry with
-// --check. Each fault must be told with its line and path, all in one run;
-// otherwise a fleet is started fault by fault.
-TEST_P(broken_settings, each_fault_is_told_with_its_line)
+// Guards against a check that stops at the first fault: an operator who runs
+// the entry with --check on a faulty settings file must get every fault with
+// its line and path in one run, instead of correcting and starting a fleet
+// fault by fault.
+TEST_P(broken_settings, each_fault_is_reported_with_its_line)
 {
     auto const folder = std::string(FOXTAILVALE_FIXTURES) + "/";
     auto const name = std::string(GetParam());
