--- a/daemons/agent/main.cpp
+++ b/daemons/agent/main.cpp
@@ -5,7 +5,7 @@
 
 #include <cli/daemon_options.hpp>
 
-int main(int count, char** words)
+int main(int argc, char** argv)
 {
     using namespace foxtailvale;
     cli::daemon const daemon{
@@ -29,5 +29,5 @@
         {
             return gateway::check_agent(path);
         }};
-    return cli::run_daemon(count, words, daemon);
+    return cli::run_daemon(argc, argv, daemon);
 }
--- a/libs/cli/include/cli/daemon_options.hpp
+++ b/libs/cli/include/cli/daemon_options.hpp
@@ -9,34 +9,36 @@
 namespace foxtailvale::cli
 {
 
-// Exit codes that all programs share.
+// Exit codes shared by all programs.
 inline constexpr int exit_ok = 0;
 inline constexpr int exit_failure = 1;
-// Settings or notes with faults.
+// Settings or release notes with faults.
 inline constexpr int exit_bad_input = 2;
-// A command line that cannot be read.
+// Invalid command line; the same value as EX_USAGE in sysexits.h.
 inline constexpr int exit_usage = 64;
 
-// What a daemon is called and how it goes on from its settings file.
+// Description of a daemon and the functions that check its settings and run it.
 struct daemon
 {
     std::string summary;
     std::string version;
     // Reads the settings and adds all faults to the document.
     std::function<void(release::document&)> check;
-    // Runs on settings without faults; returns the exit code.
+    // Runs the daemon with settings that have no faults; returns the exit code.
     std::function<int(release::document&)> run;
-    // Runs on a platform that writes the settings file in its own format.
+    // Runs the daemon on a platform that writes the settings file in its own
+    // format; returns the exit code.
     std::function<int(std::string const& path)> run_on_platform;
-    // Tells all faults of that file on standard error; returns the exit code.
+    // Prints all faults of that file to standard error; returns the exit code.
     std::function<int(std::string const& path)> check_on_platform;
 };
 
-// Reads the command line (SETTINGS, --check, --help, --version), reports all
-// faults of the settings with line and column, and runs the daemon. With
-// --platform the settings file is the one that the environment variable
-// FOXTAILVALE_CONFIG names, in the platform's format.
-int run_daemon(int count, char const* const* words, daemon const& daemon);
+// Parses the command line (SETTINGS, --check, --platform, --help, --version),
+// reports all faults of the settings with line and column, and runs the daemon.
+// Returns the exit code. With --platform, the settings file is in the
+// platform's format; if SETTINGS is absent, it is the file that the environment
+// variable FOXTAILVALE_CONFIG names.
+int run_daemon(int argc, char const* const* argv, daemon const& daemon);
 
 } // namespace foxtailvale::cli
 
--- a/libs/cli/src/daemon_options.cpp
+++ b/libs/cli/src/daemon_options.cpp
@@ -13,10 +13,10 @@
 int run_platform(
     char const* program, std::string path, daemon const& daemon, bool check)
 {
-    auto const* const named = std::getenv("FOXTAILVALE_CONFIG");
-    if (path.empty() && named != nullptr)
+    auto const* const config_path = std::getenv("FOXTAILVALE_CONFIG");
+    if (path.empty() && config_path != nullptr)
     {
-        path = named;
+        path = config_path;
     }
     if (path.empty() || !daemon.run_on_platform)
     {
@@ -37,7 +37,7 @@
 
 } // namespace
 
-int run_daemon(int count, char const* const* words, daemon const& daemon)
+int run_daemon(int argc, char const* const* argv, daemon const& daemon)
 {
     std::string path;
     auto check_only = false;
@@ -56,7 +56,7 @@
             "take the settings file that FOXTAILVALE_CONFIG names, in the "
             "platform's format",
             line);
-        line.parse(count, words);
+        line.parse(argc, argv);
         on_platform = platform.getValue();
         path = settings.getValue();
         check_only = check.getValue();
@@ -67,17 +67,17 @@
     }
     catch (TCLAP::ArgException const& fault)
     {
-        std::cerr << words[0] << ": " << fault.error() << " " << fault.argId()
+        std::cerr << argv[0] << ": " << fault.error() << " " << fault.argId()
                   << "\n";
         return exit_usage;
     }
     if (on_platform)
     {
-        return run_platform(words[0], path, daemon, check_only);
+        return run_platform(argv[0], path, daemon, check_only);
     }
     if (path.empty())
     {
-        std::cerr << words[0] << ": SETTINGS is missing\n";
+        std::cerr << argv[0] << ": SETTINGS is missing\n";
         return exit_usage;
     }
     auto source = release::load_document(path);
@@ -101,7 +101,7 @@
     }
     catch (std::exception const& fault)
     {
-        std::cerr << words[0] << ": " << fault.what() << "\n";
+        std::cerr << argv[0] << ": " << fault.what() << "\n";
         return exit_failure;
     }
 }
