--- a/tools/ctl/src/explain.cpp
+++ b/tools/ctl/src/explain.cpp
@@ -25,7 +25,7 @@
 constexpr int exit_done = 0;
 constexpr int exit_failed = 1;
 
-std::string after(json const& body)
+std::string time_after_arrival(json const& body)
 {
     return text_of(body, "after_ms") + " ms after it arrived";
 }
@@ -36,8 +36,9 @@
     return name.empty() ? "no endpoint" : "endpoint " + name;
 }
 
-// Whether the request was run, for a reader who does not know the words.
-std::string ran_words(json const& body)
+// States whether the request was run, for a reader who does not know the
+// field's values.
+std::string describe_run_state(json const& body)
 {
     auto const ran = text_of(body, "ran");
     if (ran == "no")
@@ -50,7 +51,7 @@
                           "not run.";
 }
 
-std::string seen_of_platform(json const& body)
+std::string describe_configuration_view(json const& body)
 {
     return "The entry went by configuration " + text_of(body, "configuration") +
            ", confirmed " + text_of(body, "view_age_ms") + " ms before.";
@@ -61,8 +62,9 @@
     return base::row_of(base::error_kind_from_name(text_of(body, "kind")));
 }
 
-// What came of a request at an engine on an older version.
-std::string beginning_of(json const& body)
+// Describes when a request began at an engine on an older version; empty if the
+// line has no such field.
+std::string describe_first_event(json const& body)
 {
     if (!body.contains("begun_ms"))
     {
@@ -81,7 +83,7 @@
            text_of(body, "version") + " ended for this entry.";
 }
 
-std::string tell_placed(json const& body)
+std::string describe_placed(json const& body)
 {
     auto const age = number_of(body, "report_age_ms");
     auto const source =
@@ -101,76 +103,81 @@
            text_of(body, "expected_ms") + " ms.";
 }
 
-std::string tell_answered(json const& body)
+std::string describe_answered(json const& body)
 {
     return "It was answered with status " + text_of(body, "status") + " by " +
-           endpoint_of(body) + " " + after(body) + ", after " +
+           endpoint_of(body) + " " + time_after_arrival(body) + ", after " +
            text_of(body, "sends") + " send(s). It waited " +
            text_of(body, "sent_ms") +
            " ms for room, and its answer began after " +
-           text_of(body, "first_ms") + " ms." + beginning_of(body);
+           text_of(body, "first_ms") + " ms." + describe_first_event(body);
 }
 
-std::string tell_refused(json const& body)
+std::string describe_refused(json const& body)
 {
-    return "It was refused " + after(body) + ": " + text_of(body, "reason") +
-           ". " + std::string(row_of(body).title) + " " + ran_words(body) +
+    return "It was refused " + time_after_arrival(body) + ": " +
+           text_of(body, "reason") + ". " + std::string(row_of(body).title) +
+           " " + describe_run_state(body) +
            (row_of(body).retry_after.count() > 0
                 ? " Its caller was told when to come back. "
                 : " To come back would not help its caller. ") +
-           seen_of_platform(body);
+           describe_configuration_view(body);
 }
 
-std::string tell_retried(json const& body)
+std::string describe_retried(json const& body)
 {
     return "The attempt at " + endpoint_of(body) + " came to nothing " +
-           after(body) + ": " + text_of(body, "reason") +
+           time_after_arrival(body) + ": " + text_of(body, "reason") +
            ". It was sent once more, after event " +
-           text_of(body, "last_event") + " of its answer." + beginning_of(body);
+           text_of(body, "last_event") + " of its answer." +
+           describe_first_event(body);
 }
 
-std::string tell_failed(json const& body)
+std::string describe_failed(json const& body)
 {
-    return "It was given up " + after(body) + " at " + endpoint_of(body) +
-           ": " + text_of(body, "reason") + ". " +
-           std::string(row_of(body).title) + " " + ran_words(body) + " " +
-           seen_of_platform(body) + beginning_of(body);
+    return "It was given up " + time_after_arrival(body) + " at " +
+           endpoint_of(body) + ": " + text_of(body, "reason") + ". " +
+           std::string(row_of(body).title) + " " + describe_run_state(body) +
+           " " + describe_configuration_view(body) + describe_first_event(body);
 }
 
-std::string tell_cut(json const& body)
+std::string describe_cut(json const& body)
 {
     return "Its answer broke off after event " + text_of(body, "last_event") +
-           ", " + after(body) + ": " + text_of(body, "reason") +
+           ", " + time_after_arrival(body) + ": " + text_of(body, "reason") +
            ". The connection was ended, so that what had come does not look "
            "whole." +
-           beginning_of(body);
+           describe_first_event(body);
 }
 
-std::string tell_left(json const& body)
+std::string describe_caller_left(json const& body)
 {
-    return "Its caller left " + after(body) + ". The endpoint was told." +
-           beginning_of(body);
+    return "Its caller left " + time_after_arrival(body) +
+           ". The endpoint was told." + describe_first_event(body);
 }
 
-using teller = std::string (*)(json const&);
+using formatter = std::string (*)(json const&);
 
-// How each event is told.
-std::map<std::string, teller> const& request_tellers()
+// Formatters by the name of the event.
+std::map<std::string, formatter> const& request_formatters()
 {
-    static std::map<std::string, teller> const tellers{
-        {"request_placed", tell_placed},   {"request_answered", tell_answered},
-        {"request_refused", tell_refused}, {"request_retried", tell_retried},
-        {"request_failed", tell_failed},   {"request_cut", tell_cut},
-        {"request_left", tell_left}};
-    return tellers;
+    static std::map<std::string, formatter> const formatters{
+        {"request_placed", describe_placed},
+        {"request_answered", describe_answered},
+        {"request_refused", describe_refused},
+        {"request_retried", describe_retried},
+        {"request_failed", describe_failed},
+        {"request_cut", describe_cut},
+        {"request_left", describe_caller_left}};
+    return formatters;
 }
 
-std::string tell(json const& body)
+std::string describe(json const& body)
 {
     auto const name = text_of(body, "name");
-    auto const found = request_tellers().find(name);
-    return found != request_tellers().end() ? found->second(body)
-                                            : name + ": " + body.dump();
+    auto const found = request_formatters().find(name);
+    return found != request_formatters().end() ? found->second(body)
+                                               : name + ": " + body.dump();
 }
 
 served_engine engine_sent_to(json const& body)
@@ -183,12 +190,12 @@
 
 void read_lines(read_log& log, std::istream& lines, std::string const& request)
 {
-    // Only lines on a switch have this field.
+    // Only the lines about a switch of weights contain this field.
     constexpr std::string_view switch_mark = "\"from_version\":";
     for (std::string text; std::getline(lines, text);)
     {
-        auto const names = text.find(request) != std::string::npos;
-        if (!names && text.find(switch_mark) == std::string::npos)
+        auto const names_request = text.find(request) != std::string::npos;
+        if (!names_request && text.find(switch_mark) == std::string::npos)
         {
             continue;
         }
@@ -199,31 +206,31 @@
         }
         if (text_of(line->body, "request") == request)
         {
-            log.of_request.push_back(std::move(*line));
+            log.request_lines.push_back(std::move(*line));
         }
-        else if (is_of_switch(*line))
+        else if (is_switch_line(*line))
         {
-            log.of_switches.push_back(std::move(*line));
+            log.switch_lines.push_back(std::move(*line));
         }
     }
 }
 
-std::vector<told_line> explain(read_log const& log)
+std::vector<explained_line> explain(read_log const& log)
 {
-    std::vector<told_line> told;
+    std::vector<explained_line> explanation;
     std::set<served_engine> engines;
-    for (auto const& line : log.of_request)
+    for (auto const& line : log.request_lines)
     {
-        told.push_back({line.time, line.process, tell(line.body)});
+        explanation.push_back({line.time, line.process, describe(line.body)});
         if (text_of(line.body, "name") == "request_placed")
         {
             engines.insert(engine_sent_to(line.body));
         }
     }
-    auto const switches = tell_switches(log.of_switches, engines);
-    told.insert(told.end(), switches.begin(), switches.end());
-    std::ranges::stable_sort(told, {}, &told_line::time);
-    return told;
+    auto const switches = describe_switches(log.switch_lines, engines);
+    explanation.insert(explanation.end(), switches.begin(), switches.end());
+    std::ranges::stable_sort(explanation, {}, &explained_line::time);
+    return explanation;
 }
 
 int explain_request(
@@ -244,13 +251,13 @@
         }
         read_lines(log, file, request);
     }
-    auto const told = explain(log);
-    for (auto const& line : told)
+    auto const explanation = explain(log);
+    for (auto const& line : explanation)
     {
         std::cout << line.time << "  " << line.process << "\n    " << line.text
                   << "\n";
     }
-    if (told.empty())
+    if (explanation.empty())
     {
         std::cerr << "foxtailvalectl: no line names " << request
                   << "; it may have been left out of a busy second "
--- a/tools/ctl/src/explain.hpp
+++ b/tools/ctl/src/explain.hpp
@@ -7,30 +7,32 @@
 #include <string>
 #include <vector>
 
-// What became of one request, in plain words, out of the log lines of all
-// processes that touched it.
+// Explains the outcome of one request in plain words, from the log lines of all
+// processes that handled it.
 namespace foxtailvale::ctl
 {
 
-// What was read of the logs for one request.
+// The log lines that are relevant to one request.
 struct read_log
 {
-    // Lines that name the request.
-    std::vector<log_line> of_request;
-    // Agents' lines on switches of their engines, which know no request.
-    std::vector<log_line> of_switches;
+    // Lines that contain the request's ID.
+    std::vector<log_line> request_lines;
+    // Agents' lines about switches of their engines, which contain no request
+    // ID.
+    std::vector<log_line> switch_lines;
 };
 
-// Reads log lines, one JSON object a line with anything in front of it. Lines
-// that are no log lines are passed over.
+// Reads log lines, each holding one JSON object that may follow other text.
+// Skips lines that are not log lines.
 void read_lines(read_log& log, std::istream& lines, std::string const& request);
 
-// Tells the lines that name the request, in the order of their times. Where it
-// was sent to an engine on an older version, the lines of the agent with that
-// engine's IP address on its way from that version are told, too.
-std::vector<told_line> explain(read_log const& log);
+// Explains the lines of the request, ordered by time. If the request was sent
+// to an engine on an older version, also explains the lines of the agent with
+// that engine's IP address about the switch away from that version.
+std::vector<explained_line> explain(read_log const& log);
 
-// Prints what explain() tells; an exit code.
+// Prints the result of explain() for the log files, or for standard input if
+// there are none. Returns the exit code.
 int explain_request(
     std::string const& request, std::vector<std::string> const& files);
 
--- a/tools/ctl/src/log_line.cpp
+++ b/tools/ctl/src/log_line.cpp
@@ -8,7 +8,7 @@
 
 using json = nlohmann::json;
 
-json read_line(std::string const& line)
+json parse_json(std::string const& line)
 {
     auto const begin = line.find('{');
     return begin == std::string::npos
@@ -20,14 +20,14 @@
 
 std::optional<log_line> parse_line(std::string const& text)
 {
-    auto const read = read_line(text);
-    if (!read.is_object() || !read.contains("body") ||
-        !read["body"].is_object())
+    auto const parsed = parse_json(text);
+    if (!parsed.is_object() || !parsed.contains("body") ||
+        !parsed["body"].is_object())
     {
         return std::nullopt;
     }
-    auto const& body = read["body"];
-    return log_line{text_of(read, "time"), text_of(body, "process"), body};
+    auto const& body = parsed["body"];
+    return log_line{text_of(parsed, "time"), text_of(body, "process"), body};
 }
 
 std::string text_of(json const& body, char const* key)
@@ -48,10 +48,10 @@
                : 0;
 }
 
-std::string time_before(std::int64_t left)
+std::string time_before(std::int64_t remaining_ms)
 {
-    return left < 0 ? std::to_string(-left) + " ms after"
-                    : std::to_string(left) + " ms before";
+    return remaining_ms < 0 ? std::to_string(-remaining_ms) + " ms after"
+                            : std::to_string(remaining_ms) + " ms before";
 }
 
 } // namespace foxtailvale::ctl
--- a/tools/ctl/src/log_line.hpp
+++ b/tools/ctl/src/log_line.hpp
@@ -10,7 +10,7 @@
 namespace foxtailvale::ctl
 {
 
-// One log line as a process wrote it.
+// A log line as written by a process.
 struct log_line
 {
     std::string time;
@@ -18,28 +18,28 @@
     nlohmann::json body;
 };
 
-// One log line as a sentence.
-struct told_line
+// A log line, explained in a sentence.
+struct explained_line
 {
-    // As the process wrote it; lines are put in this order.
+    // Time as the process wrote it; lines are sorted by it.
     std::string time;
     std::string process;
     std::string text;
 };
 
-// Reads a line that holds one JSON object, with anything in front of it;
-// nothing for what is no log line.
+// Parses a line that holds one JSON object, which may follow other text.
+// Returns std::nullopt if it is not a log line.
 std::optional<log_line> parse_line(std::string const& text);
 
-// A field as text; "unknown" when it is not there.
+// Returns a field as text, or "unknown" if it is absent.
 std::string text_of(nlohmann::json const& body, char const* key);
 
-// A field that holds a whole number; zero when it is not there.
+// Returns an integer field, or zero if it is absent or not a number.
 std::int64_t number_of(nlohmann::json const& body, char const* key);
 
-// So many milliseconds before a moment, or after it when the number is below
-// zero.
-std::string time_before(std::int64_t left);
+// Formats a time relative to a moment: "N ms before" it, or "N ms after" it if
+// the number of remaining milliseconds is negative.
+std::string time_before(std::int64_t remaining_ms);
 
 } // namespace foxtailvale::ctl
 
--- a/tools/ctl/src/main.cpp
+++ b/tools/ctl/src/main.cpp
@@ -63,7 +63,7 @@
 
 } // namespace
 
-int main(int count, char** words)
+int main(int argc, char** argv)
 {
     try
     {
@@ -80,7 +80,7 @@
             "command", "what to do", true, "", "COMMAND", line);
         TCLAP::UnlabeledMultiArg<std::string> const arguments(
             "arguments", "the command's arguments", false, "ARGUMENT", line);
-        line.parse(count, words);
+        line.parse(argc, argv);
         return run(
             {platform.getValue(), command.getValue(), arguments.getValue()});
     }
--- a/tools/ctl/src/release_commands.cpp
+++ b/tools/ctl/src/release_commands.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-// The configuration in force and its object's version.
+// The configuration in force and the version of its object.
 struct release_object
 {
     release::configuration configuration;
@@ -53,23 +53,25 @@
     return cli::exit_bad_input;
 }
 
-// Tells whether the write took effect although its answer was lost, and what
-// another operator did if it did not.
-int settle(std::string const& platform, release::configuration const& wanted)
+// Reports whether a write took effect although its answer was lost; if it did
+// not, reports which note another operator applied instead. Returns the exit
+// code.
+int check_acceptance(
+    std::string const& platform, release::configuration const& wanted)
 {
-    auto const now = read_release(platform);
-    if (!now)
+    auto const current = read_release(platform);
+    if (!current)
     {
-        return report(now.error());
+        return report(current.error());
     }
-    if (now.value().configuration == wanted)
+    if (current.value().configuration == wanted)
     {
         std::cout << "note " << wanted.generation << " is accepted\n";
         return cli::exit_ok;
     }
     std::cerr << "foxtailvalectl: note " << wanted.generation
               << " was not accepted: note "
-              << now.value().configuration.generation
+              << current.value().configuration.generation
               << " is in force, another operator was first\n";
     return cli::exit_failure;
 }
@@ -86,12 +88,12 @@
     auto const note = release::read_release_note(source);
     if (!platform.empty())
     {
-        auto const now = read_release(platform);
-        if (!now)
+        auto const current = read_release(platform);
+        if (!current)
         {
-            return report(now.error());
+            return report(current.error());
         }
-        release::apply_note(now.value().configuration, note, source);
+        release::apply_note(current.value().configuration, note, source);
     }
     if (!source.faults.empty())
     {
@@ -109,12 +111,12 @@
         return report(source);
     }
     auto const note = release::read_release_note(source);
-    auto const now = read_release(platform);
-    if (!now)
+    auto const current = read_release(platform);
+    if (!current)
     {
-        return report(now.error());
+        return report(current.error());
     }
-    auto const& in_force = now.value();
+    auto const& in_force = current.value();
     auto const next = release::apply_note(in_force.configuration, note, source);
     if (!source.faults.empty())
     {
@@ -131,17 +133,17 @@
         std::cout << "note " << next.generation << " is accepted\n";
         return cli::exit_ok;
     }
-    return settle(platform, next);
+    return check_acceptance(platform, next);
 }
 
 int show_release(std::string const& platform)
 {
-    auto const now = read_release(platform);
-    if (!now)
+    auto const current = read_release(platform);
+    if (!current)
     {
-        return report(now.error());
+        return report(current.error());
     }
-    std::cout << to_text(now.value().configuration) << "\n";
+    std::cout << to_text(current.value().configuration) << "\n";
     return cli::exit_ok;
 }
 
--- a/tools/ctl/src/release_commands.hpp
+++ b/tools/ctl/src/release_commands.hpp
@@ -6,11 +6,11 @@
 namespace foxtailvale::ctl
 {
 
-// Checks a release note against the configuration in force, or for itself
-// alone when the platform's address is empty. Returns the exit code.
+// Checks a release note against the configuration in force, or on its own if
+// the platform's address is empty. Returns the exit code.
 int check_note(std::string const& platform, std::string const& path);
 
-// Accepts a release note by one conditional update. Returns the exit code.
+// Applies a release note with one conditional update. Returns the exit code.
 int apply_note(std::string const& platform, std::string const& path);
 
 // Prints the configuration in force. Returns the exit code.
--- a/tools/ctl/src/switch_words.cpp
+++ b/tools/ctl/src/switch_words.cpp
@@ -10,33 +10,33 @@
 {
 
 using json = nlohmann::json;
-using teller = std::string (*)(json const&);
+using formatter = std::string (*)(json const&);
 
 std::string engine_of(json const& body)
 {
     return "The engine at " + text_of(body, "ip");
 }
 
-std::string since_naming(json const& body, char const* key)
+std::string since_announcement(json const& body, char const* key)
 {
     return text_of(body, key) + " ms after version " +
            text_of(body, "first_newer") + " was named";
 }
 
-std::string until_bound(json const& body, std::int64_t left)
+std::string relative_to_bound(json const& body, std::int64_t left)
 {
     return time_before(left) + " version " + text_of(body, "from_version") +
            " had to end";
 }
 
-std::string tell_planned(json const& body)
+std::string describe_planned(json const& body)
 {
     auto const left = number_of(body, "bound_ms") - number_of(body, "turn_ms");
     auto const missing = number_of(body, "missing");
     return engine_of(body) + " was to go from version " +
            text_of(body, "from_version") + " to " + text_of(body, "version") +
-           " " + since_naming(body, "turn_ms") + ", " +
-           until_bound(body, left) +
+           " " + since_announcement(body, "turn_ms") + ", " +
+           relative_to_bound(body, left) +
            (body.value("skips", false)
                 ? ", leaving out version " + text_of(body, "first_newer")
                 : "") +
@@ -62,27 +62,28 @@
                         : "";
 }
 
-std::string tell_ordered(json const& body)
+std::string describe_ordered(json const& body)
 {
     return engine_of(body) + " was ordered from version " +
            text_of(body, "from_version") + " to " + text_of(body, "version") +
-           " " + since_naming(body, "after_ms") + ", " +
-           until_bound(body, number_of(body, "left_ms")) + "; planned at " +
-           text_of(body, "turn_ms") + " ms, chunks whole at " +
-           text_of(body, "whole_ms") + " ms, staged at " +
-           text_of(body, "staged_ms") + " ms, looked at for " +
-           text_of(body, "look_ms") + " ms." + reason_late(body);
+           " " + since_announcement(body, "after_ms") + ", " +
+           relative_to_bound(body, number_of(body, "left_ms")) +
+           "; planned at " + text_of(body, "turn_ms") +
+           " ms, chunks whole at " + text_of(body, "whole_ms") +
+           " ms, staged at " + text_of(body, "staged_ms") +
+           " ms, looked at for " + text_of(body, "look_ms") + " ms." +
+           reason_late(body);
 }
 
-std::string tell_accepted(json const& body)
+std::string describe_accepted(json const& body)
 {
     return engine_of(body) + " took the order " +
            text_of(body, "since_order_ms") + " ms after it was sent, " +
-           until_bound(body, number_of(body, "left_ms")) +
+           relative_to_bound(body, number_of(body, "left_ms")) +
            "; from then on it began nothing on that version.";
 }
 
-std::string tell_order_failed(json const& body)
+std::string describe_order_failed(json const& body)
 {
     if (number_of(body, "status") == 0)
     {
@@ -93,23 +94,23 @@
            text_of(body, "status") + ": " + text_of(body, "answer");
 }
 
-std::string tell_activated(json const& body)
+std::string describe_activated(json const& body)
 {
     return engine_of(body) + " served version " + text_of(body, "version") +
            " " + text_of(body, "since_order_ms") + " ms after the order, " +
-           until_bound(body, number_of(body, "left_ms")) + ".";
+           relative_to_bound(body, number_of(body, "left_ms")) + ".";
 }
 
-// The agents' lines on the switch of their engine.
-std::map<std::string, teller> const& switch_tellers()
+// Formatters of the agents' lines about a switch, by the name of the event.
+std::map<std::string, formatter> const& switch_formatters()
 {
-    static std::map<std::string, teller> const tellers{
-        {"switch_planned", tell_planned},
-        {"engine_order_sent", tell_ordered},
-        {"engine_order_accepted", tell_accepted},
-        {"engine_order_failed", tell_order_failed},
-        {"weights_activated", tell_activated}};
-    return tellers;
+    static std::map<std::string, formatter> const formatters{
+        {"switch_planned", describe_planned},
+        {"engine_order_sent", describe_ordered},
+        {"engine_order_accepted", describe_accepted},
+        {"engine_order_failed", describe_order_failed},
+        {"weights_activated", describe_activated}};
+    return formatters;
 }
 
 served_engine engine_of_switch(json const& body)
@@ -119,12 +120,12 @@
 
 } // namespace
 
-bool is_of_switch(log_line const& line)
+bool is_switch_line(log_line const& line)
 {
-    return switch_tellers().contains(text_of(line.body, "name"));
+    return switch_formatters().contains(text_of(line.body, "name"));
 }
 
-std::vector<told_line> tell_switches(
+std::vector<explained_line> describe_switches(
     std::vector<log_line> lines, std::set<served_engine> const& engines)
 {
     std::ranges::stable_sort(lines, {}, &log_line::time);
@@ -141,24 +142,25 @@
     {
         return text_of(line->body, "name") == "switch_planned";
     };
-    std::vector<told_line> told;
+    std::vector<explained_line> explanation;
     for (auto const& [engine, found] : by_engine)
     {
-        for (std::size_t at = 0; at < found.size(); ++at)
+        for (std::size_t index = 0; index < found.size(); ++index)
         {
-            auto const between = at > 0 && at + 1 < found.size() &&
-                                 is_plan(found[at - 1]) && is_plan(found[at]) &&
-                                 is_plan(found[at + 1]);
-            if (!between)
+            auto const is_intermediate_plan =
+                index > 0 && index + 1 < found.size() &&
+                is_plan(found[index - 1]) && is_plan(found[index]) &&
+                is_plan(found[index + 1]);
+            if (!is_intermediate_plan)
             {
-                auto const& body = found[at]->body;
-                told.push_back(
-                    {found[at]->time, found[at]->process,
-                     switch_tellers().at(text_of(body, "name"))(body)});
+                auto const& body = found[index]->body;
+                explanation.push_back(
+                    {found[index]->time, found[index]->process,
+                     switch_formatters().at(text_of(body, "name"))(body)});
             }
         }
     }
-    return told;
+    return explanation;
 }
 
 } // namespace foxtailvale::ctl
--- a/tools/ctl/src/switch_words.hpp
+++ b/tools/ctl/src/switch_words.hpp
@@ -9,19 +9,20 @@
 #include <utility>
 #include <vector>
 
-// Agents' lines on switches of their engines, in plain words.
+// Explains, in plain words, the agents' log lines about switches of their
+// engines from one version of weights to another.
 namespace foxtailvale::ctl
 {
 
-// An engine by its IP address and the version that it served.
+// An engine, identified by its IP address and the version that it served.
 using served_engine = std::pair<std::string, std::int64_t>;
 
-// Whether it is an agent's line on a switch.
-bool is_of_switch(log_line const& line);
+// Whether the line is an agent's line about a switch.
+bool is_switch_line(log_line const& line);
 
-// The switches of these engines, each told in the order of time. Of plans that
-// follow each other the first and the last are told.
-std::vector<told_line> tell_switches(
+// Explains the switches of these engines, each one ordered by time. Of
+// consecutive plans, only the first and the last are included.
+std::vector<explained_line> describe_switches(
     std::vector<log_line> lines, std::set<served_engine> const& engines);
 
 } // namespace foxtailvale::ctl
--- a/tools/ctl/tests/explain_tests.cpp
+++ b/tools/ctl/tests/explain_tests.cpp
@@ -10,8 +10,9 @@
 namespace
 {
 
-// Lines as two entries and a collector wrote them, out of order.
-constexpr auto lines =
+// Log lines of two entries, one of them prefixed by a log collector, out of
+// order.
+constexpr auto log_lines =
     R"(9.30 edge-2 {"time":"2026-01-01T00:00:09.300Z","level":"INFO","body":{"after_ms":168,"configuration":16,"endpoint":"","event":1401,"kind":"no_endpoint","name":"request_refused","process":"edge-2","ran":"no","reason":"waited for room","request":"60f7","runs":0,"sends":0,"view_age_ms":920}}
 not a log line with 60f7 in it
 {"time":"2026-01-01T00:00:09.100Z","level":"INFO","body":{"name":"request_answered","process":"edge-1","request":"other","status":200}}
@@ -19,7 +20,7 @@
 {"time":"2026-01-01T00:00:05.000Z","level":"INFO","body":{"after_ms":400,"configuration":4,"endpoint":"i-2","event":1403,"kind":"deadline_passed","name":"request_failed","process":"edge-1","ran":"unknown","reason":"time is up","request":"75c7","runs":1,"sends":1,"view_age_ms":1247}}
 )";
 
-std::vector<told_line>
+std::vector<explained_line>
 explain_lines(char const* text, std::string const& request)
 {
     std::istringstream in(text);
@@ -28,42 +29,44 @@
     return explain(log);
 }
 
-bool says(std::string const& text, std::string const& part)
+bool contains(std::string const& text, std::string const& part)
 {
     return text.find(part) != std::string::npos;
 }
 
 } // namespace
 
-TEST(explain, tells_what_became_of_one_request_in_order)
+TEST(explain, explains_the_outcome_of_one_request_in_order)
 {
-    auto const told = explain_lines(lines, "60f7");
-    ASSERT_EQ(told.size(), 2U);
-    EXPECT_EQ(told[0].process, "edge-2");
-    EXPECT_TRUE(says(told[0].text, "refused 168 ms"));
-    EXPECT_TRUE(says(told[0].text, "It was not run."));
-    EXPECT_TRUE(says(told[0].text, "told when to come back"));
-    EXPECT_TRUE(says(told[0].text, "configuration 16, confirmed 920 ms"));
-    EXPECT_TRUE(says(told[1].text, "status 200 by endpoint i-9"));
-    EXPECT_TRUE(says(told[1].text, "waited 3 ms"));
+    auto const explanation = explain_lines(log_lines, "60f7");
+    ASSERT_EQ(explanation.size(), 2U);
+    EXPECT_EQ(explanation[0].process, "edge-2");
+    EXPECT_TRUE(contains(explanation[0].text, "refused 168 ms"));
+    EXPECT_TRUE(contains(explanation[0].text, "It was not run."));
+    EXPECT_TRUE(contains(explanation[0].text, "told when to come back"));
+    EXPECT_TRUE(
+        contains(explanation[0].text, "configuration 16, confirmed 920 ms"));
+    EXPECT_TRUE(contains(explanation[1].text, "status 200 by endpoint i-9"));
+    EXPECT_TRUE(contains(explanation[1].text, "waited 3 ms"));
 }
 
-// A booking was sent and never answered. What is told must not read as if it
-// had not been run.
-TEST(explain, an_unknown_outcome_is_called_unknown)
+// Guards against an explanation that reads as if a booking had not been run,
+// when it was sent and never answered.
+TEST(explain, an_unknown_outcome_is_reported_as_unknown)
 {
-    auto const told = explain_lines(lines, "75c7");
-    ASSERT_EQ(told.size(), 1U);
-    EXPECT_TRUE(says(told[0].text, "Nobody can say whether it was run"));
-    EXPECT_FALSE(says(told[0].text, "It was not run."));
+    auto const explanation = explain_lines(log_lines, "75c7");
+    ASSERT_EQ(explanation.size(), 1U);
+    EXPECT_TRUE(
+        contains(explanation[0].text, "Nobody can say whether it was run"));
+    EXPECT_FALSE(contains(explanation[0].text, "It was not run."));
 }
 
 namespace
 {
 
-// One request to an engine on an older version, by its entry, and the lines of
-// three agents: the engine's own, on this switch and the one before, and
-// another's.
+// The entry's lines on one request to an engine on an older version, and lines
+// of agents: of the agent of that engine on this switch and on the next one,
+// and of another engine's agent.
 constexpr auto switch_lines =
     R"({"time":"2026-01-01T00:00:13.100Z","level":"INFO","body":{"address":"10.1.0.18:8045","endpoint":"i-7","ends_in_ms":515,"event":1410,"expected_ms":450,"line":0,"name":"request_placed","process":"edge-1","report_age_ms":80,"request":"a7","sends":1,"slots":16,"version":1,"work":15}}
 {"time":"2026-01-01T00:00:15.256Z","level":"INFO","body":{"after_ms":2300,"before_end_ms":-502,"begun_ms":1017,"endpoint":"i-7","event":1407,"expected_ms":450,"first_ms":1160,"name":"request_answered","process":"edge-1","request":"a7","sends":1,"sent_ms":143,"status":200,"version":1}}
@@ -82,40 +85,48 @@
 } // namespace
 
 // A request began on an older version after its bound. What the entry expected,
-// what came of it and why the engine was still on that version stand in lines
-// of two processes, one of which knows no request.
-TEST(explain, tells_why_a_request_began_on_an_older_version)
+// what happened and why the engine was still on that version is spread over the
+// logs of two processes, one of which does not know the request.
+TEST(explain, explains_why_a_request_began_on_an_older_version)
 {
     std::istringstream agent(agent_lines);
     std::istringstream entry(switch_lines);
     read_log log;
     read_lines(log, agent, "a7");
     read_lines(log, entry, "a7");
-    auto const told = explain(log);
-    ASSERT_EQ(told.size(), 7U);
-    EXPECT_TRUE(says(told[0].text, "from version 1 to 2"));
-    EXPECT_TRUE(says(told[0].text, "its manifest was not there"));
-    // The plan between is left out.
-    EXPECT_TRUE(says(told[1].text, "from version 1 to 3"));
-    EXPECT_TRUE(says(told[1].text, "7600 ms after version 2 was named"));
-    EXPECT_TRUE(says(told[1].text, "400 ms before version 1 had to end"));
-    EXPECT_TRUE(says(told[1].text, "leaving out version 2"));
-    EXPECT_TRUE(says(told[1].text, "chunks missing: 3"));
-    EXPECT_EQ(told[2].process, "edge-1");
-    EXPECT_TRUE(says(told[2].text, "endpoint i-7 at 10.1.0.18:8045"));
-    EXPECT_TRUE(says(told[2].text, "ends for this entry in 515 ms"));
-    EXPECT_TRUE(says(told[2].text, "15 requests there at 16 slots"));
-    EXPECT_TRUE(says(told[2].text, "by a report 80 ms old"));
-    EXPECT_TRUE(says(told[2].text, "begin within 450 ms"));
-    EXPECT_TRUE(says(told[3].text, "185 ms after version 1 had to end"));
-    EXPECT_TRUE(says(told[3].text, "Late, as chunks were put beside"));
-    EXPECT_TRUE(says(told[4].text, "took the order 3 ms after it was sent"));
-    EXPECT_TRUE(says(told[5].text, "served version 3 800 ms after the order"));
-    EXPECT_TRUE(says(told[6].text, "1017 ms after it was sent (450 ms were"));
-    EXPECT_TRUE(says(told[6].text, "502 ms after version 1 ended"));
+    auto const explanation = explain(log);
+    ASSERT_EQ(explanation.size(), 7U);
+    EXPECT_TRUE(contains(explanation[0].text, "from version 1 to 2"));
+    EXPECT_TRUE(contains(explanation[0].text, "its manifest was not there"));
+    // The intermediate plan is omitted.
+    EXPECT_TRUE(contains(explanation[1].text, "from version 1 to 3"));
+    EXPECT_TRUE(
+        contains(explanation[1].text, "7600 ms after version 2 was named"));
+    EXPECT_TRUE(
+        contains(explanation[1].text, "400 ms before version 1 had to end"));
+    EXPECT_TRUE(contains(explanation[1].text, "leaving out version 2"));
+    EXPECT_TRUE(contains(explanation[1].text, "chunks missing: 3"));
+    EXPECT_EQ(explanation[2].process, "edge-1");
+    EXPECT_TRUE(
+        contains(explanation[2].text, "endpoint i-7 at 10.1.0.18:8045"));
+    EXPECT_TRUE(contains(explanation[2].text, "ends for this entry in 515 ms"));
+    EXPECT_TRUE(contains(explanation[2].text, "15 requests there at 16 slots"));
+    EXPECT_TRUE(contains(explanation[2].text, "by a report 80 ms old"));
+    EXPECT_TRUE(contains(explanation[2].text, "begin within 450 ms"));
+    EXPECT_TRUE(
+        contains(explanation[3].text, "185 ms after version 1 had to end"));
+    EXPECT_TRUE(
+        contains(explanation[3].text, "Late, as chunks were put beside"));
+    EXPECT_TRUE(
+        contains(explanation[4].text, "took the order 3 ms after it was sent"));
+    EXPECT_TRUE(contains(
+        explanation[5].text, "served version 3 800 ms after the order"));
+    EXPECT_TRUE(contains(
+        explanation[6].text, "1017 ms after it was sent (450 ms were"));
+    EXPECT_TRUE(contains(explanation[6].text, "502 ms after version 1 ended"));
 }
 
-TEST(explain, tells_what_the_entry_went_by_without_a_fresh_report)
+TEST(explain, explains_the_load_estimate_without_a_fresh_report)
 {
     std::string const line =
         R"({"time":"t","body":{"address":"10.1.0.18:8045","endpoint":"i-7","ends_in_ms":515,"expected_ms":450,"line":0,"name":"request_placed","process":"edge-1","report_age_ms":AGE,"request":"a7","sends":1,"slots":16,"version":1,"work":15}})";
@@ -125,12 +136,13 @@
         text.replace(text.find("AGE"), 3, age);
         return explain_lines(text.c_str(), "a7").at(0).text;
     };
-    EXPECT_TRUE(says(with_age("-1"), "without a report"));
-    EXPECT_TRUE(says(with_age("701"), "the last report was 701 ms old"));
-    EXPECT_TRUE(says(with_age("700"), "by a report 700 ms old"));
+    EXPECT_TRUE(contains(with_age("-1"), "without a report"));
+    EXPECT_TRUE(contains(with_age("701"), "the last report was 701 ms old"));
+    EXPECT_TRUE(contains(with_age("700"), "by a report 700 ms old"));
 }
 
-// The order's answer was lost. It must not read as if the engine had refused.
+// Guards against an explanation that reads as if the engine had refused an
+// order, when only the answer to the order was lost.
 TEST(explain, an_order_without_an_answer_may_have_been_taken)
 {
     std::string const text =
@@ -138,25 +150,26 @@
         R"({"time":"2026-01-01T00:00:13.000Z","body":{"answer":"","event":1309,"from_version":1,"ip":"10.1.0.18","left_ms":1000,"name":"engine_order_failed","process":"side-1","since_order_ms":1000,"status":0,"version":2}})" +
         "\n" +
         R"({"time":"2026-01-01T00:00:13.050Z","body":{"answer":"busy","event":1309,"from_version":1,"ip":"10.1.0.18","left_ms":1000,"name":"engine_order_failed","process":"side-1","since_order_ms":2,"status":409,"version":2}})";
-    auto const told = explain_lines(text.c_str(), "a7");
-    ASSERT_EQ(told.size(), 4U);
-    EXPECT_TRUE(says(told[0].text, "it may have taken it"));
-    EXPECT_TRUE(says(told[1].text, "refused the order with status 409: busy"));
+    auto const explanation = explain_lines(text.c_str(), "a7");
+    ASSERT_EQ(explanation.size(), 4U);
+    EXPECT_TRUE(contains(explanation[0].text, "it may have taken it"));
+    EXPECT_TRUE(contains(
+        explanation[1].text, "refused the order with status 409: busy"));
 }
 
-// The engine turned the request away, or its answer was not a stream.
-TEST(explain, a_beginning_that_was_not_seen_is_told_as_such)
+// The engine rejected the request, or its answer was not a stream.
+TEST(explain, an_unobserved_start_is_reported_as_such)
 {
-    auto const told = explain_lines(
+    auto const explanation = explain_lines(
         R"({"time":"t","body":{"after_ms":3,"begun_ms":-1,"endpoint":"i-7","expected_ms":450,"kind":"no_endpoint","last_event":0,"name":"request_retried","process":"edge-1","reason":"endpoint declined","request":"a7","sends":1,"version":1}})",
         "a7");
-    ASSERT_EQ(told.size(), 1U);
-    EXPECT_TRUE(says(told[0].text, "No event came from there"));
+    ASSERT_EQ(explanation.size(), 1U);
+    EXPECT_TRUE(contains(explanation[0].text, "No event came from there"));
 }
 
-TEST(explain, a_request_that_no_line_names_is_told_as_nothing)
+TEST(explain, a_request_without_log_lines_has_no_explanation)
 {
-    EXPECT_TRUE(explain_lines(lines, "ffff").empty());
+    EXPECT_TRUE(explain_lines(log_lines, "ffff").empty());
 }
 
 } // namespace foxtailvale::ctl
