--- a/tools/checker/include/checker/evidence.hpp
+++ b/tools/checker/include/checker/evidence.hpp
@@ -9,61 +9,61 @@
 #include <string>
 #include <vector>
 
-// What a run left behind, as the stand-ins, the load tool and the scenario
-// recorded it.
+// The records of a run, made by the stand-ins, the load tool and the scenario.
 namespace foxtailvale::checker
 {
 
-// Milliseconds since the epoch; all of a run's processes share one clock.
+// Milliseconds since the epoch. All processes of a run share one clock.
 using wall_time = std::chrono::milliseconds;
 
-// One request as its caller saw it.
+// A request as observed by its caller.
 struct caller_record
 {
     std::string id;
-    // Address of the entry, "http://IP:PORT".
+    // URL of the entry, "http://IP:PORT".
     std::string entry;
     bool booking = false;
     // "right", "wrong", "mixed", "lost", "refused" or "failed".
     std::string ended;
     std::string error;
-    // "no", "yes" or "unknown", when the caller was told.
+    // "no", "yes" or "unknown" if the answer told the caller; otherwise empty.
     std::string ran;
     wall_time begun{0};
-    wall_time over{0};
-    // From the answer's headers; 0 and empty when there were none.
+    wall_time finished{0};
+    // From the headers of the answer; 0 and empty if absent.
     std::uint64_t generation = 0;
     std::string digest;
 };
 
-// Work that an endpoint began.
+// A request that an endpoint began to run.
 struct begun_work
 {
     wall_time when{0};
     std::string request;
 };
 
-// One endpoint as its stand-in saw it.
+// An endpoint as observed by its stand-in.
 struct endpoint_record
 {
     std::string failure_domain;
     bool booking = false;
     std::vector<begun_work> begun;
-    // Times that more came than the endpoint could bear while cold.
+    // How often the endpoint got more requests than it could handle while cold.
     std::uint64_t overloaded_cold = 0;
 };
 
-// A failure domain that operators took out, or an endpoint that left.
+// A period in which a failure domain was taken out of service by operators, or
+// an endpoint had left.
 struct absence
 {
-    // Name of the domain or of the endpoint.
-    std::string of;
+    // Name of the failure domain or endpoint.
+    std::string subject;
     wall_time from{0};
-    // When it was back; the end of the run when it never was.
+    // Time of the return; the end of the run if it did not return.
     wall_time until{0};
 };
 
-// A stretch in which an entry was killed, frozen or cut off from its callers.
+// A period in which an entry was killed, frozen or cut off from its callers.
 struct entry_fault
 {
     std::string entry;
@@ -71,18 +71,19 @@
     wall_time until{0};
 };
 
-// A process that was asked to stop in an orderly way.
+// An orderly stop of a process.
 struct planned_stop
 {
     std::string process;
-    // Address when it is an entry.
+    // URL of the entry; empty if the process is not an entry.
     std::string entry;
-    wall_time asked{0};
-    wall_time over{0};
+    wall_time requested{0};
+    wall_time finished{0};
     int exit_code = 0;
 };
 
-// A configuration that the platform accepted, and the digests it offers.
+// A configuration that the platform accepted, and the digests of the weights
+// that it offers.
 struct accepted_note
 {
     std::uint64_t generation = 0;
@@ -90,7 +91,7 @@
     std::vector<std::string> digests;
 };
 
-// A stretch in which some entries could not hear of new configurations.
+// A period in which some entries could not receive new configurations.
 struct partition
 {
     wall_time from{0};
@@ -109,10 +110,10 @@
     std::vector<partition> partitions;
 };
 
-// Adds the load tool's report.
+// Adds the records of the load tool's report.
 void add_load_report(evidence& into, nlohmann::json const& report);
 
-// Adds an endpoint's page of counters.
+// Adds the counters that an endpoint's stand-in reported.
 void add_endpoint(
     evidence& into,
     std::string const& name,
--- a/tools/checker/include/checker/promises.hpp
+++ b/tools/checker/include/checker/promises.hpp
@@ -11,7 +11,7 @@
 namespace foxtailvale::checker
 {
 
-// What must always hold, in the users' order.
+// The guarantees of the system, in the order in which the users stated them.
 enum class promise
 {
     whole_weights,
@@ -25,22 +25,22 @@
     configuration_holds,
 };
 
-std::string_view name_of(promise kept);
+std::string_view name_of(promise value);
 std::span<promise const> all_promises();
 
-// One broken promise and the case that shows it.
+// A broken promise and a description of the case that shows it.
 struct violation
 {
     promise broken = promise::whole_weights;
     std::string what;
 };
 
-// All violations that the evidence shows, in order of promise.
-std::vector<violation> judge(evidence const& seen);
+// Returns all violations that the evidence shows, ordered by promise.
+std::vector<violation> find_violations(evidence const& recorded);
 
-// "A few seconds" after which an absent domain or endpoint gets no new work,
-// and the time within which a configuration is in force.
-inline constexpr wall_time few_seconds{3000};
+// The promises allow "a few seconds" until an absent domain or endpoint gets no
+// new work, and limit the time until an accepted configuration is in force.
+inline constexpr wall_time absence_grace{3000};
 inline constexpr wall_time in_force_limit{4000};
 
 } // namespace foxtailvale::checker
--- a/tools/checker/src/evidence.cpp
+++ b/tools/checker/src/evidence.cpp
@@ -17,7 +17,7 @@
         record.ran = entry.value("ran", "");
         record.begun =
             started + wall_time(entry.at("begun_ms").get<std::int64_t>());
-        record.over =
+        record.finished =
             record.begun + wall_time(entry.at("whole_ms").get<std::int64_t>());
         record.generation = entry.value("generation", std::uint64_t{0});
         record.digest = entry.value("digest", "");
--- a/tools/checker/src/promises.cpp
+++ b/tools/checker/src/promises.cpp
@@ -19,16 +19,16 @@
     promise::leaving_gets_nothing,    promise::graceful_stop,
     promise::configuration_holds};
 
-std::string after(wall_time from, wall_time when)
+std::string delay_text(wall_time from, wall_time when)
 {
     return std::to_string((when - from).count()) + " ms after";
 }
 
-// How often each request was begun, over all endpoints.
-std::map<std::string, std::uint64_t> count_runs(evidence const& seen)
+// Counts how often each request was begun, over all endpoints.
+std::map<std::string, std::uint64_t> count_runs(evidence const& recorded)
 {
     std::map<std::string, std::uint64_t> runs;
-    for (auto const& [name, endpoint] : seen.endpoints)
+    for (auto const& [name, endpoint] : recorded.endpoints)
     {
         for (auto const& begun : endpoint.begun)
         {
@@ -38,14 +38,14 @@
     return runs;
 }
 
-void judge_weights(evidence const& seen, violations& found)
+void check_weights(evidence const& recorded, violations& found)
 {
     std::set<std::string> released;
-    for (auto const& note : seen.notes)
+    for (auto const& note : recorded.notes)
     {
         released.insert(note.digests.begin(), note.digests.end());
     }
-    for (auto const& record : seen.callers)
+    for (auto const& record : recorded.callers)
     {
         if (record.ended == "wrong" || record.ended == "mixed")
         {
@@ -61,9 +61,9 @@
     }
 }
 
-void judge_cold(evidence const& seen, violations& found)
+void check_cold_endpoints(evidence const& recorded, violations& found)
 {
-    for (auto const& [name, endpoint] : seen.endpoints)
+    for (auto const& [name, endpoint] : recorded.endpoints)
     {
         if (endpoint.overloaded_cold > 0)
         {
@@ -75,53 +75,54 @@
     }
 }
 
-bool within(absence const& gone, wall_time when)
+bool is_during_absence(absence const& gone, wall_time when)
 {
-    return when > gone.from + few_seconds && when < gone.until;
+    return when > gone.from + absence_grace && when < gone.until;
 }
 
-void judge_domains(evidence const& seen, violations& found)
+void check_domains_out(evidence const& recorded, violations& found)
 {
-    for (auto const& gone : seen.domains_out)
+    for (auto const& gone : recorded.domains_out)
     {
-        for (auto const& [name, endpoint] : seen.endpoints)
+        for (auto const& [name, endpoint] : recorded.endpoints)
         {
-            if (endpoint.failure_domain != gone.of)
+            if (endpoint.failure_domain != gone.subject)
             {
                 continue;
             }
             for (auto const& begun : endpoint.begun)
             {
-                if (within(gone, begun.when))
+                if (is_during_absence(gone, begun.when))
                 {
                     found.push_back(
                         {promise::domain_out_gets_nothing,
                          name + " began " + begun.request + " " +
-                             after(gone.from, begun.when) + " " + gone.of +
-                             " was taken out"});
+                             delay_text(gone.from, begun.when) + " " +
+                             gone.subject + " was taken out"});
                 }
             }
         }
     }
 }
 
-void judge_leaving(evidence const& seen, violations& found)
+void check_leaving_endpoints(evidence const& recorded, violations& found)
 {
-    for (auto const& gone : seen.endpoints_leaving)
+    for (auto const& gone : recorded.endpoints_leaving)
     {
-        auto const endpoint = seen.endpoints.find(gone.of);
-        if (endpoint == seen.endpoints.end())
+        auto const endpoint = recorded.endpoints.find(gone.subject);
+        if (endpoint == recorded.endpoints.end())
         {
             continue;
         }
         for (auto const& begun : endpoint->second.begun)
         {
-            if (within(gone, begun.when))
+            if (is_during_absence(gone, begun.when))
             {
                 found.push_back(
                     {promise::leaving_gets_nothing,
-                     gone.of + " began " + begun.request + " " +
-                         after(gone.from, begun.when) + " it began to leave"});
+                     gone.subject + " began " + begun.request + " " +
+                         delay_text(gone.from, begun.when) +
+                         " it began to leave"});
             }
         }
     }
@@ -129,15 +130,15 @@
 
 bool overlaps(caller_record const& record, wall_time from, wall_time until)
 {
-    return record.begun <= until && record.over >= from;
+    return record.begun <= until && record.finished >= from;
 }
 
-// Whether the entry itself was down: then nobody is left to answer, and what
-// the caller sees is a broken connection, which it cannot take for an answer.
-bool entry_was_down(evidence const& seen, caller_record const& record)
+// Whether the entry itself was down. Then nothing is left to answer, and the
+// caller sees a broken connection, which it cannot mistake for an answer.
+bool entry_was_down(evidence const& recorded, caller_record const& record)
 {
     return std::ranges::any_of(
-        seen.entry_faults,
+        recorded.entry_faults,
         [&](entry_fault const& fault)
         {
             return fault.entry == record.entry &&
@@ -145,14 +146,15 @@
         });
 }
 
-// Whether the entry was being stopped by plan.
+// Returns the planned stop of the entry that overlaps with the request, or
+// null.
 planned_stop const*
-stop_during(evidence const& seen, caller_record const& record)
+stop_during(evidence const& recorded, caller_record const& record)
 {
-    for (auto const& stop : seen.stops)
+    for (auto const& stop : recorded.stops)
     {
-        if (stop.entry == record.entry && record.begun <= stop.over &&
-            record.over >= stop.asked)
+        if (stop.entry == record.entry && record.begun <= stop.finished &&
+            record.finished >= stop.requested)
         {
             return &stop;
         }
@@ -160,12 +162,12 @@
     return nullptr;
 }
 
-void judge_answers(evidence const& seen, violations& found)
+void check_answers(evidence const& recorded, violations& found)
 {
-    for (auto const& record : seen.callers)
+    for (auto const& record : recorded.callers)
     {
-        if (record.ended == "lost" && !entry_was_down(seen, record) &&
-            stop_during(seen, record) == nullptr)
+        if (record.ended == "lost" && !entry_was_down(recorded, record) &&
+            stop_during(recorded, record) == nullptr)
         {
             found.push_back(
                 {promise::whole_answer,
@@ -175,10 +177,10 @@
     }
 }
 
-void judge_not_run(evidence const& seen, violations& found)
+void check_not_run(evidence const& recorded, violations& found)
 {
-    auto const runs = count_runs(seen);
-    for (auto const& record : seen.callers)
+    auto const runs = count_runs(recorded);
+    for (auto const& record : recorded.callers)
     {
         if (record.ran == "no" && runs.contains(record.id))
         {
@@ -190,10 +192,10 @@
     }
 }
 
-void judge_once(evidence const& seen, violations& found)
+void check_at_most_once(evidence const& recorded, violations& found)
 {
     std::map<std::string, std::uint64_t> runs;
-    for (auto const& [name, endpoint] : seen.endpoints)
+    for (auto const& [name, endpoint] : recorded.endpoints)
     {
         for (auto const& begun : endpoint.begun)
         {
@@ -211,9 +213,9 @@
     }
 }
 
-void judge_stops(evidence const& seen, violations& found)
+void check_stops(evidence const& recorded, violations& found)
 {
-    for (auto const& stop : seen.stops)
+    for (auto const& stop : recorded.stops)
     {
         if (stop.exit_code != 0)
         {
@@ -222,13 +224,14 @@
                                              std::to_string(stop.exit_code)});
         }
     }
-    for (auto const& record : seen.callers)
+    for (auto const& record : recorded.callers)
     {
-        auto const* const stop = stop_during(seen, record);
-        // One that begins after the stop was asked for may meet a closed
-        // port, since the balancer lags; it is told so at once and not cut.
+        auto const* const stop = stop_during(recorded, record);
+        // A request that begins after the stop was requested may find a closed
+        // port, since the load balancer lags behind. Its connection is refused
+        // at once, which does not count as cut off.
         auto const cut = record.ended == "lost" && stop != nullptr &&
-                         record.begun < stop->asked;
+                         record.begun < stop->requested;
         if (cut)
         {
             found.push_back(
@@ -238,44 +241,44 @@
     }
 }
 
-bool was_partitioned(evidence const& seen, wall_time from, wall_time until)
+bool was_partitioned(evidence const& recorded, wall_time from, wall_time until)
 {
     return std::ranges::any_of(
-        seen.partitions,
+        recorded.partitions,
         [&](partition const& cut)
         {
             return cut.from <= until && cut.until + in_force_limit >= from;
         });
 }
 
-void judge_in_force(evidence const& seen, violations& found)
+void check_configuration_in_force(evidence const& recorded, violations& found)
 {
-    for (auto const& note : seen.notes)
+    for (auto const& note : recorded.notes)
     {
-        for (auto const& record : seen.callers)
+        for (auto const& record : recorded.callers)
         {
             auto const late = record.generation > 0 &&
                               record.generation < note.generation &&
                               record.begun > note.when + in_force_limit;
-            if (late && !was_partitioned(seen, note.when, record.begun))
+            if (late && !was_partitioned(recorded, note.when, record.begun))
             {
                 found.push_back(
                     {promise::configuration_holds,
                      record.id + " was answered under generation " +
                          std::to_string(record.generation) + ", " +
-                         after(note.when, record.begun) + " generation " +
+                         delay_text(note.when, record.begun) + " generation " +
                          std::to_string(note.generation) + " was accepted"});
             }
         }
     }
 }
 
-// An entry that has answered under one generation never begins a request
-// under an older one.
-void judge_reverts(evidence const& seen, violations& found)
+// An entry that has answered under one generation must not answer a later
+// request under an older one.
+void check_generation_order(evidence const& recorded, violations& found)
 {
     std::map<std::string, std::vector<caller_record const*>> by_entry;
-    for (auto const& record : seen.callers)
+    for (auto const& record : recorded.callers)
     {
         if (record.generation > 0)
         {
@@ -288,7 +291,7 @@
         {
             for (auto const* const earlier : records)
             {
-                if (earlier->over < later->begun &&
+                if (earlier->finished < later->begun &&
                     earlier->generation > later->generation)
                 {
                     found.push_back(
@@ -305,9 +308,9 @@
 
 } // namespace
 
-std::string_view name_of(promise kept)
+std::string_view name_of(promise value)
 {
-    switch (kept)
+    switch (value)
     {
     case promise::whole_weights:
         return "whole_weights";
@@ -336,19 +339,19 @@
     return promises;
 }
 
-std::vector<violation> judge(evidence const& seen)
+std::vector<violation> find_violations(evidence const& recorded)
 {
     violations found;
-    judge_weights(seen, found);
-    judge_cold(seen, found);
-    judge_domains(seen, found);
-    judge_answers(seen, found);
-    judge_not_run(seen, found);
-    judge_once(seen, found);
-    judge_leaving(seen, found);
-    judge_stops(seen, found);
-    judge_in_force(seen, found);
-    judge_reverts(seen, found);
+    check_weights(recorded, found);
+    check_cold_endpoints(recorded, found);
+    check_domains_out(recorded, found);
+    check_answers(recorded, found);
+    check_not_run(recorded, found);
+    check_at_most_once(recorded, found);
+    check_leaving_endpoints(recorded, found);
+    check_stops(recorded, found);
+    check_configuration_in_force(recorded, found);
+    check_generation_order(recorded, found);
     return found;
 }
 
--- a/tools/scenario/src/scenario_run.cpp
+++ b/tools/scenario/src/scenario_run.cpp
@@ -360,8 +360,7 @@
         auto const code = this->running.end(name, SIGTERM);
         this->seen.stops.push_back(
             {name, this->entry_address(name), asked, wall_now(), code});
-        this->seen.endpoints_leaving.push_back(
-            {name, asked, asked + max_wait});
+        this->seen.endpoints_leaving.push_back({name, asked, asked + max_wait});
         this->down.insert(name);
         this->note_down(name, milliseconds(0));
     }
@@ -495,7 +494,7 @@
         for (auto& gone : this->seen.endpoints_leaving)
         {
             gone.until =
-                gone.of == name ? std::min(gone.until, now) : gone.until;
+                gone.subject == name ? std::min(gone.until, now) : gone.until;
         }
         for (auto& fault : this->seen.entry_faults)
         {
@@ -529,8 +528,9 @@
         // From the moment the note may have been accepted work is allowed.
         for (auto& gone : this->seen.domains_out)
         {
-            gone.until = gone.of == domain ? std::min(gone.until, wall_now())
-                                           : gone.until;
+            gone.until = gone.subject == domain
+                             ? std::min(gone.until, wall_now())
+                             : gone.until;
         }
     }
 
@@ -645,7 +645,7 @@
                   << report["errors"] << std::endl;
         this->require_share(report, false, this->script.outcomes.chats_right);
         this->require_share(report, true, this->script.outcomes.bookings_right);
-        auto const violations = checker::judge(this->seen);
+        auto const violations = checker::find_violations(this->seen);
         constexpr std::size_t most_shown = 5;
         std::map<checker::promise, std::size_t> shown;
         for (auto const& found : violations)
