--- a/tools/load/src/balancer.cpp
+++ b/tools/load/src/balancer.cpp
@@ -11,16 +11,17 @@
 namespace
 {
 
-// Common health checks look every second.
-constexpr std::chrono::milliseconds look_interval{1000};
-constexpr std::chrono::milliseconds nap{50};
-constexpr std::string_view page_path = "/readyz";
+// The usual interval of health checks is one second.
+constexpr std::chrono::milliseconds health_check_interval{1000};
+constexpr std::chrono::milliseconds stop_poll_interval{50};
+constexpr std::string_view readiness_path = "/readyz";
 
 } // namespace
 
 balancer::balancer(
-    std::vector<std::string> list, std::vector<std::string> const& readiness)
-    : entries(std::move(list)),
+    std::vector<std::string> all_entries,
+    std::vector<std::string> const& readiness)
+    : entries(std::move(all_entries)),
       ready(std::make_unique<std::atomic<bool>[]>(this->entries.size()))
 {
     assert(readiness.empty() || readiness.size() == this->entries.size());
@@ -31,9 +32,9 @@
     for (std::size_t entry = 0; entry < readiness.size(); ++entry)
     {
         this->pollers.emplace_back(
-            [this, entry, page = readiness[entry]]
+            [this, entry, readiness_url = readiness[entry]]
             {
-                this->poll(entry, page);
+                this->poll(entry, readiness_url);
             });
     }
 }
@@ -47,19 +48,20 @@
     }
 }
 
-void balancer::poll(std::size_t entry, std::string const& page)
+void balancer::poll(std::size_t entry, std::string const& readiness_url)
 {
-    http::request look;
-    look.base = page;
-    look.path = page_path;
+    http::request health_check;
+    health_check.base = readiness_url;
+    health_check.path = readiness_path;
     while (!this->stopping)
     {
-        auto const answer = http::call(look);
+        auto const answer = http::call(health_check);
         this->ready[entry] = answer && answer.value().status == 200;
-        auto const next = std::chrono::steady_clock::now() + look_interval;
+        auto const next =
+            std::chrono::steady_clock::now() + health_check_interval;
         while (!this->stopping && std::chrono::steady_clock::now() < next)
         {
-            std::this_thread::sleep_for(nap);
+            std::this_thread::sleep_for(stop_poll_interval);
         }
     }
 }
--- a/tools/load/src/balancer.hpp
+++ b/tools/load/src/balancer.hpp
@@ -11,13 +11,13 @@
 namespace foxtailvale::load
 {
 
-// Stands in for the platform's balancer: takes entries in turn and leaves out
-// those whose readiness page is off or silent at its last look.
+// Stand-in for the platform's load balancer: uses entries in turn and skips
+// those that were not ready or did not answer at the last health check.
 class balancer
 {
 public:
-    // Readiness pages by entry, in the same order; none means that all entries
-    // are always taken.
+    // The base URLs of the entries' readiness pages, in the same order as the
+    // entries. If empty, all entries are always used.
     balancer(
         std::vector<std::string> entries,
         std::vector<std::string> const& readiness);
@@ -25,12 +25,12 @@
     balancer(balancer const&) = delete;
     balancer& operator=(balancer const&) = delete;
 
-    // The entry for the request with this number. All entries off: the one
-    // whose turn it is.
+    // Returns the entry for the request with this number. If no entry is ready,
+    // returns the one whose turn it is.
     std::string const& pick(std::size_t number) const;
 
 private:
-    void poll(std::size_t entry, std::string const& page);
+    void poll(std::size_t entry, std::string const& readiness_url);
 
     std::vector<std::string> entries;
     std::unique_ptr<std::atomic<bool>[]> ready;
--- a/tools/load/src/load_settings.cpp
+++ b/tools/load/src/load_settings.cpp
@@ -10,8 +10,8 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds longest_run{3'600'000};
-constexpr std::uint64_t most_rate = 100'000;
+constexpr milliseconds max_run_length{3'600'000};
+constexpr std::uint64_t max_rate = 100'000;
 
 } // namespace
 
@@ -22,7 +22,7 @@
     auto const count = [&](char const* key, std::uint32_t fallback)
     {
         return static_cast<std::uint32_t>(
-            reader.number_or(key, fallback, 0, most_rate));
+            reader.number_or(key, fallback, 0, max_rate));
     };
     settings.entries = reader.texts_or_empty("entries");
     if (settings.entries.empty())
@@ -40,7 +40,7 @@
         auto entry = reader.element("workspaces", index);
         settings.workspaces.push_back(
             {entry.text("name"), static_cast<std::uint32_t>(entry.number_or(
-                                     "weight", 1, 1, most_rate))});
+                                     "weight", 1, 1, max_rate))});
         entry.finish();
     }
     if (settings.workspaces.empty())
@@ -57,9 +57,9 @@
     settings.prompts = count("prompts", settings.prompts);
     settings.seed = reader.number_or("seed", 1, 0, 1ULL << 62U);
     settings.duration = reader.milliseconds_or(
-        "duration_ms", milliseconds(10'000), milliseconds(1), longest_run);
+        "duration_ms", milliseconds(10'000), milliseconds(1), max_run_length);
     settings.deadline = reader.milliseconds_or(
-        "deadline_ms", settings.deadline, milliseconds(1), longest_run);
+        "deadline_ms", settings.deadline, milliseconds(1), max_run_length);
     reader.finish();
     return settings;
 }
--- a/tools/load/src/main.cpp
+++ b/tools/load/src/main.cpp
@@ -3,7 +3,7 @@
 
 #include <iostream>
 
-int main(int count, char** words)
+int main(int argc, char** argv)
 {
     using namespace foxtailvale;
     cli::daemon const program{
@@ -19,5 +19,5 @@
             std::cout << load::run_load(settings).dump(2) << "\n";
             return cli::exit_ok;
         }};
-    return cli::run_daemon(count, words, program);
+    return cli::run_daemon(argc, argv, program);
 }
--- a/tools/load/src/requests.cpp
+++ b/tools/load/src/requests.cpp
@@ -15,9 +15,10 @@
 using clock = std::chrono::steady_clock;
 using nlohmann::json;
 
-// Beyond the deadline the entry must have answered by itself.
-constexpr std::chrono::milliseconds grace{3000};
-// Between two events of a stream.
+// Time after the deadline within which the entry must have answered by itself;
+// then the load tool gives up.
+constexpr std::chrono::milliseconds response_grace{3000};
+// Pause of a slow reader between two events of a stream.
 constexpr std::chrono::milliseconds slow_reader_pause{40};
 
 std::chrono::microseconds since(clock::time_point start)
@@ -29,15 +30,16 @@
 http::request
 common_request(load_settings const& settings, planned_request const& planned)
 {
-    http::request ask;
-    ask.base = planned.entry;
-    ask.method = "POST";
-    ask.content_type = "application/json";
-    ask.timeout = settings.deadline + grace;
-    ask.headers["X-Workspace"] = planned.workspace;
-    ask.headers["X-Request-Id"] = planned.id;
-    ask.headers["X-Deadline-Ms"] = std::to_string(settings.deadline.count());
-    return ask;
+    http::request http_request;
+    http_request.base = planned.entry;
+    http_request.method = "POST";
+    http_request.content_type = "application/json";
+    http_request.timeout = settings.deadline + response_grace;
+    http_request.headers["X-Workspace"] = planned.workspace;
+    http_request.headers["X-Request-Id"] = planned.id;
+    http_request.headers["X-Deadline-Ms"] =
+        std::to_string(settings.deadline.count());
+    return http_request;
 }
 
 std::string header(http::response const& head, std::string const& name)
@@ -46,14 +48,14 @@
     return found == head.headers.end() ? std::string() : found->second;
 }
 
-void note_headers(request_record& record, http::response const& head)
+void record_headers(request_record& record, http::response const& head)
 {
     record.generation = std::strtoull(
         header(head, "X-Release-Generation").c_str(), nullptr, 10);
     record.digest = header(head, "X-Weights-Digest");
 }
 
-void note_problem(request_record& record, std::string const& text)
+void record_problem(request_record& record, std::string const& text)
 {
     auto const problem = json::parse(text, nullptr, false);
     if (!problem.is_object())
@@ -67,13 +69,13 @@
     record.ended = record.ran == "no" ? outcome::refused : outcome::failed;
 }
 
-void note_broken(request_record& record, base::error const& error)
+void record_connection_error(request_record& record, base::error const& error)
 {
     record.unreachable = error.kind == base::error_kind::peer_unreachable;
     record.error = "connection: " + error.detail;
 }
 
-// What a stream brought.
+// What was received on a stream.
 struct stream_text
 {
     std::string text;
@@ -83,7 +85,7 @@
     std::string problem;
 };
 
-void take_event(
+void process_event(
     stream_text& stream,
     std::string const& event,
     std::string const& digest,
@@ -113,19 +115,19 @@
     }
     auto const token =
         value["choices"][0]["delta"].value("content", std::string());
-    auto const wanted = standins::answer_token(digest, prompt, stream.tokens);
-    stream.right_tokens += token == wanted ? 1 : 0;
+    auto const expected = standins::answer_token(digest, prompt, stream.tokens);
+    stream.right_tokens += token == expected ? 1 : 0;
     ++stream.tokens;
     stream.text += token;
 }
 
-outcome judge(stream_text const& stream, std::uint32_t wanted)
+outcome classify(stream_text const& stream, std::uint32_t expected)
 {
-    if (!stream.ended || stream.tokens < wanted)
+    if (!stream.ended || stream.tokens < expected)
     {
         return outcome::lost;
     }
-    if (stream.tokens == wanted && stream.right_tokens == wanted)
+    if (stream.tokens == expected && stream.right_tokens == expected)
     {
         return outcome::right;
     }
@@ -137,9 +139,9 @@
 {
     request_record record;
     record.id = planned.id;
-    auto ask = common_request(settings, planned);
-    ask.path = "/v1/chat/completions";
-    ask.body =
+    auto http_request = common_request(settings, planned);
+    http_request.path = "/v1/chat/completions";
+    http_request.body =
         json{
             {"model", settings.model},
             {"stream", true},
@@ -149,14 +151,14 @@
             .dump();
     auto const start = clock::now();
     stream_text stream;
-    std::string other;
+    std::string error_body;
     auto const answer = http::stream(
-        ask,
+        http_request,
         [&](http::response const& head, std::string const& piece)
         {
             if (head.status != 200)
             {
-                other += piece;
+                error_body += piece;
                 return true;
             }
             if (planned.slow_reader)
@@ -167,7 +169,7 @@
             {
                 record.first_token = since(start);
             }
-            take_event(
+            process_event(
                 stream, piece, header(head, "X-Weights-Digest"),
                 planned.prompt);
             return true;
@@ -175,21 +177,21 @@
     record.whole = since(start);
     if (!answer)
     {
-        note_broken(record, answer.error());
+        record_connection_error(record, answer.error());
         return record;
     }
-    note_headers(record, answer.value());
+    record_headers(record, answer.value());
     if (answer.value().status != 200)
     {
-        note_problem(record, other);
+        record_problem(record, error_body);
     }
     else if (!stream.problem.empty())
     {
-        note_problem(record, stream.problem);
+        record_problem(record, stream.problem);
     }
     else
     {
-        record.ended = judge(stream, settings.tokens);
+        record.ended = classify(stream, settings.tokens);
     }
     return record;
 }
@@ -200,28 +202,28 @@
     request_record record;
     record.id = planned.id;
     record.booking = true;
-    auto ask = common_request(settings, planned);
-    ask.path = "/services/" + settings.service + "/bookings";
-    ask.headers["Idempotency-Key"] = planned.id;
-    ask.body = json{{"visit", planned.prompt}}.dump();
+    auto http_request = common_request(settings, planned);
+    http_request.path = "/services/" + settings.service + "/bookings";
+    http_request.headers["Idempotency-Key"] = planned.id;
+    http_request.body = json{{"visit", planned.prompt}}.dump();
     auto const start = clock::now();
-    auto const answer = http::call(ask);
+    auto const answer = http::call(http_request);
     record.whole = since(start);
     if (!answer)
     {
-        note_broken(record, answer.error());
+        record_connection_error(record, answer.error());
         return record;
     }
-    note_headers(record, answer.value());
+    record_headers(record, answer.value());
     if (answer.value().status != 200)
     {
-        note_problem(record, answer.value().body);
+        record_problem(record, answer.value().body);
         return record;
     }
     auto const value = json::parse(answer.value().body, nullptr, false);
-    auto const right = value.is_object() &&
-                       value.value("request", "") == planned.id &&
-                       value.value("bytes", std::size_t{0}) == ask.body.size();
+    auto const right =
+        value.is_object() && value.value("request", "") == planned.id &&
+        value.value("bytes", std::size_t{0}) == http_request.body.size();
     record.ended = right ? outcome::right : outcome::wrong;
     return record;
 }
--- a/tools/load/src/requests.hpp
+++ b/tools/load/src/requests.hpp
@@ -10,20 +10,20 @@
 namespace foxtailvale::load
 {
 
-// How one request ended, judged by the load tool alone.
+// How a request ended, as determined by the load tool alone.
 enum class outcome
 {
-    // Whole, right and from one version.
+    // Complete, correct and from one version.
     right,
-    // The text is not what the named weights answer.
+    // The text is not the answer of the weights that the response names.
     wrong,
-    // Some tokens come from other weights than the rest.
+    // Some tokens come from different weights than the others.
     mixed,
-    // Ended without an answer or an error.
+    // Ended without a complete answer and without an error.
     lost,
-    // A clear error with "ran: no".
+    // An explicit error with "ran: no".
     refused,
-    // A clear error that is not "not run".
+    // An explicit error that does not state that the request was not run.
     failed,
 };
 
@@ -32,22 +32,22 @@
     std::string id;
     bool booking = false;
     outcome ended = outcome::lost;
-    // The connection was refused: nothing of the request left.
+    // The connection was refused: no part of the request was sent.
     bool unreachable = false;
-    // Stable error name, when there was one.
+    // Stable name of the error; empty if there was none.
     std::string error;
     std::string ran;
     std::chrono::microseconds first_token{0};
     std::chrono::microseconds whole{0};
-    // From the start of the run.
+    // Start time, relative to the start of the run.
     std::chrono::milliseconds begun{0};
     std::string entry;
-    // From the answer's headers; 0 and empty when there were none.
+    // From the headers of the answer; 0 and empty if absent.
     std::uint64_t generation = 0;
     std::string digest;
 };
 
-// One request to make.
+// A request to send.
 struct planned_request
 {
     std::string id;
--- a/tools/load/src/run_load.cpp
+++ b/tools/load/src/run_load.cpp
@@ -40,7 +40,7 @@
     return "failed";
 }
 
-// One request at its time.
+// A request and its start time, relative to the start of the run.
 struct scheduled_request
 {
     microseconds at{0};
@@ -130,8 +130,9 @@
         {"p99_ms", percentile(values, 0.99)}};
 }
 
-// One row per second of the run: outcomes, and how late the first tokens were.
-json by_second(std::vector<request_record> const& records)
+// Returns one row per second of the run: the counts of outcomes and the
+// latencies of the first token.
+json rows_by_second(std::vector<request_record> const& records)
 {
     std::map<std::int64_t, std::vector<request_record>> seconds;
     for (auto const& record : records)
@@ -139,17 +140,18 @@
         seconds[record.begun.count() / 1000].push_back(record);
     }
     json rows = json::array();
-    for (auto const& [second, inside] : seconds)
+    for (auto const& [second, records_in_second] : seconds)
     {
         std::map<std::string, std::uint64_t> outcomes;
-        for (auto const& record : inside)
+        for (auto const& record : records_in_second)
         {
             ++outcomes[name_of(record.ended)];
         }
         rows.push_back(
             {{"second", second},
              {"outcomes", outcomes},
-             {"first_token", latencies(inside, &request_record::first_token)}});
+             {"first_token",
+              latencies(records_in_second, &request_record::first_token)}});
     }
     return rows;
 }
@@ -170,7 +172,7 @@
         {"digest", record.digest}};
 }
 
-json summarise(std::vector<request_record> const& records)
+json make_report(std::vector<request_record> const& records)
 {
     std::map<std::string, std::uint64_t> outcomes;
     std::map<std::string, std::uint64_t> errors;
@@ -198,13 +200,14 @@
         {"errors", errors},
         {"first_token", latencies(records, &request_record::first_token)},
         {"whole", latencies(records, &request_record::whole)},
-        {"by_second", by_second(records)},
+        {"by_second", rows_by_second(records)},
         {"bookings", std::move(bookings)},
         {"records", std::move(all)}};
 }
 
-// Sends the request where the balancer says. One whose connection was refused
-// goes to the next entry, as a balancer does it: nothing of it has left.
+// Sends the request to the entry that the load balancer picks. If the
+// connection is refused, no part of the request was sent, so the next entry is
+// tried, as a load balancer does.
 request_record send_balanced(
     load_settings const& settings,
     balancer const& entries,
@@ -253,7 +256,7 @@
     {
         thread.join();
     }
-    auto report = summarise(records);
+    auto report = make_report(records);
     report["started_ms"] = started_ms.count();
     return report;
 }
