--- a/tools/scenario/src/chaos.cpp
+++ b/tools/scenario/src/chaos.cpp
@@ -15,10 +15,10 @@
 
 constexpr milliseconds load_length{10'000};
 constexpr std::uint64_t last_start_ms = 7000;
-constexpr std::uint64_t shortest_ms = 500;
-constexpr std::uint64_t longest_ms = 3000;
-constexpr std::uint64_t least_steps = 2;
-constexpr std::uint64_t more_steps = 5;
+constexpr std::uint64_t min_length_ms = 500;
+constexpr std::uint64_t max_length_ms = 3000;
+constexpr std::uint64_t min_steps = 2;
+constexpr std::uint64_t step_count_range = 5;
 
 constexpr std::array kinds{
     step_kind::kill,
@@ -37,20 +37,21 @@
     step_kind::slow_engine,
     step_kind::crash_request};
 
-// Draws steps; names that have been used up are not drawn again.
-class plan_maker
+// Generates random steps. A target, or the kind of a step without a target, is
+// used at most once.
+class step_generator
 {
 public:
-    plan_maker(deployment const& of, std::uint64_t seed)
-        : fleet(of), vms(make_vms(of)), random{seed}
+    step_generator(deployment const& layout, std::uint64_t seed)
+        : fleet(layout), vms(make_vms(layout)), random{seed}
     {
     }
 
-    std::vector<scenario_step> make()
+    std::vector<scenario_step> generate()
     {
         std::vector<scenario_step> steps;
-        auto const count = least_steps + this->below(more_steps);
-        for (std::uint64_t drawn = 0; drawn < count; ++drawn)
+        auto const count = min_steps + this->below(step_count_range);
+        for (std::uint64_t index = 0; index < count; ++index)
         {
             this->add(steps);
         }
@@ -77,8 +78,8 @@
         scenario_step step;
         step.kind = kinds[this->below(kinds.size())];
         step.at = milliseconds(500 + this->below(last_start_ms));
-        step.length =
-            milliseconds(shortest_ms + this->below(longest_ms - shortest_ms));
+        step.length = milliseconds(
+            min_length_ms + this->below(max_length_ms - min_length_ms));
         step.amount = 1;
         switch (step.kind)
         {
@@ -90,7 +91,7 @@
         case step_kind::turn_cold:
         case step_kind::fall_over:
         case step_kind::slow_engine:
-            step.target = this->any_engine();
+            step.target = this->random_engine_name();
             step.amount = 2 + this->below(20);
             break;
         case step_kind::domain_out:
@@ -112,17 +113,17 @@
         }
         if (step.kind == step_kind::stop)
         {
-            auto again = step;
-            again.kind = step_kind::start;
-            again.at += again.length;
-            again.length = milliseconds(0);
+            auto start_step = step;
+            start_step.kind = step_kind::start;
+            start_step.at += start_step.length;
+            start_step.length = milliseconds(0);
             step.length = milliseconds(0);
-            steps.push_back(std::move(again));
+            steps.push_back(std::move(start_step));
         }
         steps.push_back(std::move(step));
     }
 
-    std::string any_engine()
+    std::string random_engine_name()
     {
         std::vector<std::string> engines;
         for (auto const& machine : this->vms)
@@ -145,16 +146,16 @@
 
 scenario_file make_chaos(deployment const& fleet, std::uint64_t seed)
 {
-    scenario_file made;
-    made.story = "Chaos of seed " + std::to_string(seed) + ".";
-    made.fleet = fleet;
-    made.model_bytes = 1024 * 1024;
-    made.chats_per_second = 20;
-    made.bookings_per_second = 10;
-    made.load_length = load_length;
-    made.deadline = milliseconds(5000);
-    made.steps = plan_maker(fleet, seed).make();
-    return made;
+    scenario_file generated;
+    generated.story = "Chaos of seed " + std::to_string(seed) + ".";
+    generated.fleet = fleet;
+    generated.model_bytes = 1024 * 1024;
+    generated.chats_per_second = 20;
+    generated.bookings_per_second = 10;
+    generated.load_length = load_length;
+    generated.deadline = milliseconds(5000);
+    generated.steps = step_generator(fleet, seed).generate();
+    return generated;
 }
 
 std::string to_text(scenario_file const& script, std::string const& fleet_path)
--- a/tools/scenario/src/chaos.hpp
+++ b/tools/scenario/src/chaos.hpp
@@ -8,11 +8,13 @@
 namespace foxtailvale::scenario
 {
 
-// A scenario of random faults from the users' list: one seed gives one plan of
-// faults. No process has two faults at a time, so that each can be taken back.
+// Returns a scenario of random faults of the kinds that users listed. The same
+// seed gives the same plan. No process has two faults, so that each one can be
+// undone.
 scenario_file make_chaos(deployment const& fleet, std::uint64_t seed);
 
-// The scenario as a file, so that a seed that broke a promise can be kept.
+// Returns the scenario in the file format, so that a seed that broke a promise
+// can be saved.
 std::string to_text(scenario_file const& script, std::string const& fleet_path);
 
 } // namespace foxtailvale::scenario
--- a/tools/scenario/src/child_process.cpp
+++ b/tools/scenario/src/child_process.cpp
@@ -23,7 +23,7 @@
 } // namespace
 
 child_process::child_process(
-    std::vector<std::string> const& words, std::string const& log_path)
+    std::vector<std::string> const& command, std::string const& log_path)
 {
     posix_spawn_file_actions_t files;
     posix_spawn_file_actions_init(&files);
@@ -32,18 +32,19 @@
         0644);
     posix_spawn_file_actions_adddup2(&files, STDOUT_FILENO, STDERR_FILENO);
     std::vector<char*> arguments;
-    for (auto const& word : words)
+    for (auto const& argument : command)
     {
-        arguments.push_back(const_cast<char*>(word.c_str()));
+        arguments.push_back(const_cast<char*>(argument.c_str()));
     }
     arguments.push_back(nullptr);
     auto const failed = posix_spawnp(
-        &this->id, words.front().c_str(), &files, nullptr, arguments.data(),
+        &this->id, command.front().c_str(), &files, nullptr, arguments.data(),
         environ);
     posix_spawn_file_actions_destroy(&files);
     if (failed != 0)
     {
-        throw std::system_error(failed, std::generic_category(), words.front());
+        throw std::system_error(
+            failed, std::generic_category(), command.front());
     }
 }
 
--- a/tools/scenario/src/child_process.hpp
+++ b/tools/scenario/src/child_process.hpp
@@ -9,25 +9,26 @@
 namespace foxtailvale::scenario
 {
 
-// One process that this tool started; ended with SIGKILL, by its id, when the
-// object goes away while it still runs.
+// A child process. If it still runs when the object is destroyed, it is ended
+// with SIGKILL, by its ID.
 class child_process
 {
 public:
-    // Starts a program with both outputs in the log file; throws
-    // std::system_error when that fails.
+    // Starts a program with standard output and standard error appended to the
+    // log file. Throws std::system_error if that fails.
     child_process(
-        std::vector<std::string> const& words, std::string const& log_path);
+        std::vector<std::string> const& command, std::string const& log_path);
     ~child_process();
     child_process(child_process&& other) noexcept;
     child_process& operator=(child_process&& other) noexcept;
 
     void send(int signal) const;
 
-    // The system's number for it, for reading what it uses.
+    // Returns the process ID, for reading the process's resource usage.
     pid_t process_id() const;
 
-    // Waits for the end; the exit code, or 128 and the signal's number.
+    // Waits for the process to end. Returns its exit code, or 128 plus the
+    // number of the signal that ended it.
     int wait();
 
 private:
--- a/tools/scenario/src/control_bench.cpp
+++ b/tools/scenario/src/control_bench.cpp
@@ -25,14 +25,14 @@
 using steady = std::chrono::steady_clock;
 using wall_time = std::chrono::system_clock::time_point;
 
-constexpr seconds start_phase{12};
-constexpr seconds window{10};
+constexpr seconds startup_time{12};
+constexpr seconds measurement_window{10};
 constexpr seconds change_interval{1};
-// An accepted configuration must be in force everywhere within this.
+// Time limit for an accepted configuration to be in force everywhere.
 constexpr milliseconds in_force_limit{4000};
 constexpr int adopted_event = 1101;
 
-// Sums over all nodes of one role.
+// Totals over all nodes of one role.
 struct role_totals
 {
     double nodes = 0;
@@ -51,7 +51,7 @@
     double platform_calls = 0;
 };
 
-// When each generation was accepted.
+// Time at which each accepted generation was sent to the platform.
 using acceptances = std::map<std::uint64_t, wall_time>;
 
 deployment make_layout(control_bench_size const& size, unsigned network)
@@ -65,15 +65,15 @@
     layout.network = network;
     for (std::uint32_t index = 0; index < size.domains; ++index)
     {
-        domain place;
-        place.name = "domain-" + std::to_string(index + 1);
-        place.region = "one";
-        // What does not divide evenly goes to the first domains.
-        place.entries = size.entries / size.domains +
-                        (index < size.entries % size.domains ? 1 : 0);
-        place.booking = size.agents / size.domains +
-                        (index < size.agents % size.domains ? 1 : 0);
-        layout.domains.push_back(std::move(place));
+        domain failure_domain;
+        failure_domain.name = "domain-" + std::to_string(index + 1);
+        failure_domain.region = "one";
+        // The remainder of the division goes to the first domains.
+        failure_domain.entries = size.entries / size.domains +
+                                 (index < size.entries % size.domains ? 1 : 0);
+        failure_domain.booking = size.agents / size.domains +
+                                 (index < size.agents % size.domains ? 1 : 0);
+        layout.domains.push_back(std::move(failure_domain));
     }
     return layout;
 }
@@ -114,12 +114,12 @@
 release::configuration first_configuration(deployment const& layout)
 {
     release::configuration made;
-    for (auto const& place : layout.domains)
+    for (auto const& failure_domain : layout.domains)
     {
-        made.domains[place.name] = {place.region, true, 1};
+        made.domains[failure_domain.name] = {failure_domain.region, true, 1};
     }
     made.services[layout.booking_service] = {false, 8, 1};
-    // A release of the size that users have: ten workspaces, some models.
+    // A release of the size that users have: ten workspaces and some models.
     for (int index = 0; index < 10; ++index)
     {
         made.workspaces["workspace-" + std::to_string(index)] = {1};
@@ -127,7 +127,7 @@
     return made;
 }
 
-// Stores configurations one after the other as foxtailvalectl does.
+// Stores consecutive configurations, as foxtailvalectl does.
 class release_writer
 {
 public:
@@ -144,14 +144,14 @@
         ++this->configuration.generation;
         this->configuration.workspaces["workspace-0"].weight =
             static_cast<std::uint32_t>(this->configuration.generation);
-        http::request ask;
-        ask.base = this->base;
-        ask.method = "PUT";
-        ask.path = "/objects/release/current";
-        ask.headers["If-Match"] = std::to_string(this->version);
-        ask.body = to_text(this->configuration);
+        http::request http_request;
+        http_request.base = this->base;
+        http_request.method = "PUT";
+        http_request.path = "/objects/release/current";
+        http_request.headers["If-Match"] = std::to_string(this->version);
+        http_request.body = to_text(this->configuration);
         auto const sent = std::chrono::system_clock::now();
-        auto const answer = http::call(ask);
+        auto const answer = http::call(http_request);
         if (!answer || answer.value().status != 200)
         {
             throw std::runtime_error("the platform refused a configuration");
@@ -172,7 +172,8 @@
     acceptances accepted;
 };
 
-// Reads "2026-01-31T12:00:00.123Z".
+// Parses a time such as "2026-01-31T12:00:00.123Z". Throws std::runtime_error
+// if the text is not one.
 wall_time parse_time(std::string const& text)
 {
     std::tm parts{};
@@ -185,8 +186,9 @@
            milliseconds(std::stol(text.substr(milliseconds_at, 3)));
 }
 
-// Adds how long each later generation took to be in force on one node. A node
-// that skipped a generation had it in force with the next one.
+// Adds the delay until each generation after the first was in force on one
+// node. A node that skipped a generation has it in force with the next one that
+// it adopts.
 void add_delays(
     std::string const& log_path,
     acceptances const& accepted,
@@ -205,7 +207,7 @@
     }
     for (auto const& [generation, when] : accepted)
     {
-        // The first one meets a fleet that is still starting.
+        // The first generation is written while the fleet is still starting.
         if (generation == 1)
         {
             continue;
@@ -290,14 +292,14 @@
     fleet running(paths, make_layout(size, network), {});
     release_writer writer(running.layout());
     writer.write_next();
-    std::this_thread::sleep_for(start_phase);
+    std::this_thread::sleep_for(startup_time);
 
     auto const start = take_sample(running);
-    std::this_thread::sleep_for(window);
+    std::this_thread::sleep_for(measurement_window);
     auto const idle = take_sample(running);
     print_phase("idle", size, start, idle);
 
-    for (auto next = steady::now(); next < idle.when + window;
+    for (auto next = steady::now(); next < idle.when + measurement_window;
          next += change_interval)
     {
         std::this_thread::sleep_until(next);
@@ -307,10 +309,10 @@
     print_phase("one change a second", size, idle, changing);
 
     std::this_thread::sleep_for(in_force_limit);
-    auto const held = print_delays(sorted_delays(running, writer.times()));
+    auto const in_time = print_delays(sorted_delays(running, writer.times()));
     auto const orderly = running.stop();
     std::printf("orderly stop: %s\n", orderly ? "yes" : "no");
-    return held && orderly ? 0 : 1;
+    return in_time && orderly ? 0 : 1;
 }
 
 } // namespace foxtailvale::scenario
--- a/tools/scenario/src/control_bench.hpp
+++ b/tools/scenario/src/control_bench.hpp
@@ -6,7 +6,7 @@
 namespace foxtailvale::scenario
 {
 
-// How large the fleet of a control bench is.
+// Size of the fleet of a control bench.
 struct control_bench_size
 {
     std::uint32_t domains = 2;
@@ -14,10 +14,11 @@
     std::uint32_t agents = 50;
 };
 
-// Measures what control costs with real processes: processor time, memory and
-// bytes per node, calls to the platform, and how long an accepted
-// configuration takes to be in force everywhere. Prints one table row per
-// phase; 0 when every change was in force everywhere within the limit.
+// Measures the cost of the control plane with real processes: processor time,
+// memory and bytes per node, calls to the platform, and the time until an
+// accepted configuration is in force everywhere. Prints one table row per
+// phase. Returns 0 if every change was in force everywhere within the limit and
+// the fleet stopped in an orderly way.
 int run_control_bench(
     fleet_paths const& paths, control_bench_size const& size, unsigned network);
 
--- a/tools/scenario/src/demo.cpp
+++ b/tools/scenario/src/demo.cpp
@@ -30,7 +30,7 @@
 constexpr std::uint64_t first_seed = 1;
 constexpr std::uint64_t second_seed = 2;
 constexpr milliseconds poll_interval{20};
-constexpr seconds longest_phase{60};
+constexpr seconds max_phase_length{60};
 constexpr seconds domain_phase{6};
 constexpr seconds settle_phase{4};
 constexpr seconds live_load{60};
@@ -40,13 +40,13 @@
     return std::chrono::duration<double>(clock::now() - start).count();
 }
 
-// Waits until the condition holds; false when it never does.
-bool wait_until(std::function<bool()> const& condition)
+// Waits until the condition is met; returns false if it is not met in time.
+bool wait_until(std::function<bool()> const& is_met)
 {
     auto const start = clock::now();
-    while (clock::now() - start < longest_phase)
+    while (clock::now() - start < max_phase_length)
     {
-        if (condition())
+        if (is_met())
         {
             return true;
         }
@@ -55,18 +55,18 @@
     return false;
 }
 
-// One demonstration in progress.
+// A demonstration in progress.
 class demonstration
 {
 public:
     demonstration(
         fleet_paths const& paths,
-        deployment const& from,
+        deployment const& fleet_layout,
         std::string const& examples)
         : notes(examples + "/notes/"),
           running(
               paths,
-              from,
+              fleet_layout,
               {{first_seed, model_bytes, chunk_bytes},
                {second_seed, model_bytes, chunk_bytes}}),
           first(standins::make_weights(first_seed, model_bytes, chunk_bytes)),
@@ -89,9 +89,9 @@
         std::this_thread::sleep_for(settle_phase);
         this->replace_version();
         this->domain_out_and_in();
-        this->restart_some();
+        this->restart_one_of_each_kind();
         this->require(this->load_running, "the load outlasts all phases");
-        this->say("waits for the end of the load");
+        this->print_progress("waits for the end of the load");
         live.join();
         this->result = make_report(this->running, this->found);
         this->found.orderly_stop = this->running.stop();
@@ -105,7 +105,7 @@
     }
 
 private:
-    void say(std::string const& text) const
+    void print_progress(std::string const& text) const
     {
         std::cout << "  " << text << std::endl;
     }
@@ -115,21 +115,21 @@
         if (!held)
         {
             this->found.in_time = false;
-            this->say("NOT IN TIME: " + what);
+            this->print_progress("NOT IN TIME: " + what);
         }
     }
 
-    // Notes a moment for the plots.
-    void mark(std::string const& what)
+    // Records an event for the plots.
+    void record_event(std::string const& what)
     {
-        this->found.moments.push_back({seconds_since(this->load_start), what});
+        this->found.timeline.push_back({seconds_since(this->load_start), what});
     }
 
-    // Applies the note and returns when the call that was accepted began, so
-    // that no measured time comes out too short.
+    // Applies the note and returns the start time of the call that was
+    // accepted, so that no measured time comes out too short.
     clock::time_point accept(std::string const& note)
     {
-        // The first note may come before the platform is ready.
+        // The first note may be applied before the platform is ready.
         clock::time_point begun;
         this->require(
             wait_until(
@@ -142,7 +142,7 @@
         return begun;
     }
 
-    bool all_engines_hold(std::string const& digest)
+    bool all_engines_serve(std::string const& digest)
     {
         auto const& vms = this->running.vms();
         return std::ranges::all_of(
@@ -180,28 +180,28 @@
 
     void add_model()
     {
-        this->say("note 1 adds " + this->running.layout().model);
+        this->print_progress("note 1 adds " + this->running.layout().model);
         auto const start = this->accept("1-first-model.json");
         this->require(
             wait_until(
                 [&]
                 {
-                    return this->all_engines_hold(this->first.digest);
+                    return this->all_engines_serve(this->first.digest);
                 }),
             "first version everywhere");
         this->found.seconds_to_replicas = seconds_since(start);
-        this->say(
+        this->print_progress(
             "all engines serve it after " +
             std::to_string(this->found.seconds_to_replicas) + " s");
         this->first_link_bytes = agent_link_bytes(this->running);
         this->found.vm_link_copies_max =
-            most_copies({}, this->first_link_bytes, model_bytes);
+            max_copies({}, this->first_link_bytes, model_bytes);
     }
 
     void replace_version()
     {
-        this->say("note 2 replaces its version");
-        this->mark("new version");
+        this->print_progress("note 2 replaces its version");
+        this->record_event("new version");
         auto const start = this->accept("2-new-version.json");
         this->require(
             wait_until(
@@ -215,22 +215,22 @@
             wait_until(
                 [&]
                 {
-                    return this->all_engines_hold(this->second.digest);
+                    return this->all_engines_serve(this->second.digest);
                 }),
             "second version everywhere");
         this->found.seconds_to_version = seconds_since(start);
-        this->say(
+        this->print_progress(
             "all engines serve it after " +
             std::to_string(this->found.seconds_to_version) + " s");
         this->found.vm_link_copies_max = std::max(
             this->found.vm_link_copies_max,
-            most_copies(
+            max_copies(
                 this->first_link_bytes, agent_link_bytes(this->running),
                 model_bytes));
     }
 
-    // When an endpoint of the domain last began new work, by its own clock
-    // counters; engines and services alike.
+    // Returns the time at which an endpoint of the domain (engine or service)
+    // last began new work, in milliseconds by its own clock.
     std::int64_t last_new_work_ms(std::size_t domain)
     {
         std::int64_t last = 0;
@@ -240,7 +240,7 @@
             {
                 continue;
             }
-            auto const counters = this->running.sure_page(
+            auto const counters = this->running.required_page(
                 machine.address, endpoint_port, "/counters");
             last =
                 std::max(last, counters["last_begin_ms"].get<std::int64_t>());
@@ -252,16 +252,16 @@
     {
         auto const index = this->running.layout().domains.size() - 1;
         auto const& domain = this->running.layout().domains[index].name;
-        this->say("note 3 takes " + domain + " out");
-        this->mark(domain + " out");
-        auto const asked = standins::wall_clock_ms();
+        this->print_progress("note 3 takes " + domain + " out");
+        this->record_event(domain + " out");
+        auto const requested_at = standins::wall_clock_ms();
         this->accept("3-domain-out.json");
         std::this_thread::sleep_for(domain_phase);
-        auto const last = std::max(asked, this->last_new_work_ms(index));
+        auto const last = std::max(requested_at, this->last_new_work_ms(index));
         this->found.domain_out_last_new_work_s =
-            static_cast<double>(last - asked) / 1000;
-        this->say("note 4 brings it back");
-        this->mark(domain + " in");
+            static_cast<double>(last - requested_at) / 1000;
+        this->print_progress("note 4 brings it back");
+        this->record_event(domain + " in");
         this->accept("4-domain-in.json");
         std::this_thread::sleep_for(settle_phase);
     }
@@ -271,17 +271,17 @@
         return this->running.answers(machine.address, operator_port, "/readyz");
     }
 
-    // A planned restart of one VM of each kind, one after another, as
-    // operators do it for a new version of the system.
-    void restart_some()
+    // Restarts one VM of each kind, one after another, as operators do to
+    // install a new version of the system.
+    void restart_one_of_each_kind()
     {
         for (auto const kind :
              {vm_kind::entry, vm_kind::engine, vm_kind::booking})
         {
             auto const& vms = this->running.vms();
             auto const machine = std::ranges::find(vms, kind, &vm::kind);
-            this->say("restarts " + machine->name);
-            this->mark("restart " + machine->name);
+            this->print_progress("restarts " + machine->name);
+            this->record_event("restart " + machine->name);
             auto const orderly = this->running.restart(machine->name);
             this->found.orderly_restarts =
                 this->found.orderly_restarts && orderly;
@@ -324,8 +324,9 @@
         this->found.load = load::run_load(settings);
     }
 
-    // Folder of the release notes. The demonstration takes out the failure
-    // domain that the deployment names last, and so does its note 3.
+    // Folder of the release notes. The demonstration takes out of service the
+    // failure domain that the deployment names last; its note 3 must name the
+    // same one.
     std::string notes;
     fleet running;
     standins::synthetic_weights first;
@@ -341,10 +342,10 @@
 
 int run_demo(
     fleet_paths const& paths,
-    deployment const& from,
+    deployment const& fleet_layout,
     std::string const& examples)
 {
-    demonstration demo(paths, from, examples);
+    demonstration demo(paths, fleet_layout, examples);
     auto const& found = demo.run();
     auto const& report = demo.report();
     write_report(paths.work, report, found);
--- a/tools/scenario/src/demo.hpp
+++ b/tools/scenario/src/demo.hpp
@@ -6,14 +6,14 @@
 namespace foxtailvale::scenario
 {
 
-// Runs the demonstration with the release notes in the folder examples/notes:
-// one adds a model, live chats and bookings run, a version replaces another, a
-// failure domain leaves and returns, and VMs are restarted. Writes report.json
-// and report.html beside the logs, prints a table, and returns 0 when no
-// promise was broken.
+// Runs the demonstration with the release notes in the folder notes of the
+// examples folder: one note adds a model, live chats and bookings run, a new
+// version replaces the first, a failure domain leaves and returns, and VMs are
+// restarted. Writes report.json and report.html beside the logs and prints a
+// table. Returns 0 if no promise was broken.
 int run_demo(
     fleet_paths const& paths,
-    deployment const& from,
+    deployment const& fleet_layout,
     std::string const& examples);
 
 } // namespace foxtailvale::scenario
--- a/tools/scenario/src/demo_plots.cpp
+++ b/tools/scenario/src/demo_plots.cpp
@@ -33,11 +33,11 @@
     }
 }
 
-// Vertical lines with a text each where something was done.
-std::string moment_marks(std::vector<moment> const& moments)
+// Returns gnuplot commands that draw a labelled vertical line at each event.
+std::string timeline_markers(std::vector<timeline_event> const& timeline)
 {
     std::ostringstream marks;
-    for (auto const& entry : moments)
+    for (auto const& entry : timeline)
     {
         marks << "set arrow from " << entry.second << ", graph 0 to "
               << entry.second << ", graph 1 nohead dashtype 2\n"
@@ -84,7 +84,7 @@
 draw_plots(std::string const& folder, findings const& found)
 {
     write_data(folder, found.load["by_second"]);
-    auto const marks = moment_marks(found.moments);
+    auto const marks = timeline_markers(found.timeline);
     std::vector<std::string> pictures;
     auto const draw = [&](std::string const& name, std::string const& axis,
                           std::string const& curves)
--- a/tools/scenario/src/demo_plots.hpp
+++ b/tools/scenario/src/demo_plots.hpp
@@ -9,8 +9,9 @@
 namespace foxtailvale::scenario
 {
 
-// Draws the live load by second with gnuplot and returns the names of the
-// pictures in the folder; fewer when gnuplot is missing.
+// Plots the live load by second with gnuplot and returns the names of the
+// images in the folder. Images that could not be drawn, for example because
+// gnuplot is missing, are left out.
 std::vector<std::string>
 draw_plots(std::string const& folder, findings const& found);
 
--- a/tools/scenario/src/demo_report.cpp
+++ b/tools/scenario/src/demo_report.cpp
@@ -15,10 +15,11 @@
 
 using nlohmann::json;
 
-// A failure domain that was taken out gets no new work after this long.
+// Time in seconds after which a failure domain that was taken out of service
+// gets no new work.
 constexpr double domain_out_limit_s = 2.0;
 
-// How often each booking ran, by the services' own counters.
+// Counts how often each booking ran, by the counters of the services.
 std::map<std::string, std::uint64_t> booking_runs(fleet& running)
 {
     std::map<std::string, std::uint64_t> runs;
@@ -29,7 +30,7 @@
             continue;
         }
         auto const counters =
-            running.sure_page(machine.address, endpoint_port, "/counters");
+            running.required_page(machine.address, endpoint_port, "/counters");
         for (auto const& [id, count] : counters["runs"].items())
         {
             runs[id] += count.get<std::uint64_t>();
@@ -38,17 +39,20 @@
     return runs;
 }
 
-// The version of which most bytes left the origin, in copies.
+// Returns the number of copies that the origin sent of the version that it sent
+// most bytes of.
 double origin_copies(fleet& running, std::uint64_t model_bytes)
 {
-    auto const origin = running.sure_page(
+    auto const origin = running.required_page(
         store_address(running.layout()), origin_port, "/counters");
-    std::uint64_t drawn = 0;
+    std::uint64_t fetched_bytes = 0;
     for (auto const& [digest, version] : origin["versions"].items())
     {
-        drawn = std::max(drawn, version["bytes_sent"].get<std::uint64_t>());
+        fetched_bytes =
+            std::max(fetched_bytes, version["bytes_sent"].get<std::uint64_t>());
     }
-    return static_cast<double>(drawn) / static_cast<double>(model_bytes);
+    return static_cast<double>(fetched_bytes) /
+           static_cast<double>(model_bytes);
 }
 
 json booking_rows(fleet& running, json const& bookings)
--- a/tools/scenario/src/demo_report.hpp
+++ b/tools/scenario/src/demo_report.hpp
@@ -10,14 +10,14 @@
 namespace foxtailvale::scenario
 {
 
-// A moment of the demonstration, in seconds since the live load began.
-struct moment
+// An event of the demonstration, in seconds since the live load began.
+struct timeline_event
 {
     double second = 0;
     std::string what;
 };
 
-// What the demonstration measured on its way.
+// The measurements of the demonstration.
 struct findings
 {
     std::uint64_t model_bytes = 0;
@@ -29,15 +29,16 @@
     bool in_time = true;
     bool orderly_restarts = true;
     bool orderly_stop = false;
-    // What the load tool saw.
+    // Report of the load tool.
     nlohmann::json load;
-    std::vector<moment> moments;
+    std::vector<timeline_event> timeline;
 };
 
-// Makes the report from the findings and the stand-ins' counters.
+// Makes the report from the measurements and the counters of the stand-ins.
 nlohmann::json make_report(fleet& running, findings const& found);
 
-// The promises that the report shows broken; empty when all held.
+// Returns the promises that are broken according to the report; empty if all
+// held.
 std::vector<std::string> broken_promises(nlohmann::json const& report);
 
 // Prints the report as a table.
--- a/tools/scenario/src/deployment.cpp
+++ b/tools/scenario/src/deployment.cpp
@@ -10,31 +10,30 @@
 namespace
 {
 
-constexpr std::uint64_t most_vms = 200;
-constexpr std::uint64_t most_rate = 1ULL << 40U;
+constexpr std::uint64_t max_vms = 200;
+constexpr std::uint64_t max_rate = 1ULL << 40U;
 
-// "127.1.", the network of a fleet's VMs.
-std::string own_network(deployment const& from)
+// Network prefix of a fleet's VMs, for example "127.1.".
+std::string own_network(deployment const& fleet_layout)
 {
-    return "127." + std::to_string(from.network) + ".";
+    return "127." + std::to_string(fleet_layout.network) + ".";
 }
 
 domain read_domain(release::object_reader reader)
 {
     auto const count = [&](char const* key)
     {
-        return static_cast<std::uint32_t>(
-            reader.number_or(key, 0, 0, most_vms));
+        return static_cast<std::uint32_t>(reader.number_or(key, 0, 0, max_vms));
     };
-    domain read;
-    read.name = reader.text("name");
-    read.region = reader.text("region");
-    read.entries = count("entries");
-    read.engines = count("engines");
-    read.booking = count("booking");
-    read.supporting = count("supporting");
+    domain parsed;
+    parsed.name = reader.text("name");
+    parsed.region = reader.text("region");
+    parsed.entries = count("entries");
+    parsed.engines = count("engines");
+    parsed.booking = count("booking");
+    parsed.supporting = count("supporting");
     reader.finish();
-    return read;
+    return parsed;
 }
 
 char const* kind_name(vm_kind kind)
@@ -58,94 +57,99 @@
 deployment read_deployment(release::document& source)
 {
     release::object_reader reader(source, "", source.faults);
-    deployment read;
-    read.name = reader.text("name");
-    read.model = reader.text("model");
-    read.booking_service = reader.text("booking_service");
-    read.supporting_service = reader.text("supporting_service");
-    read.store_region = reader.text("store_region");
+    deployment parsed;
+    parsed.name = reader.text("name");
+    parsed.model = reader.text("model");
+    parsed.booking_service = reader.text("booking_service");
+    parsed.supporting_service = reader.text("supporting_service");
+    parsed.store_region = reader.text("store_region");
     for (std::size_t index = 0; index < reader.size("domains"); ++index)
     {
-        read.domains.push_back(read_domain(reader.element("domains", index)));
+        parsed.domains.push_back(read_domain(reader.element("domains", index)));
     }
-    read.region_latency_us =
-        reader.number_or("region_latency_us", 0, 0, most_rate);
-    read.region_bits_per_second =
-        reader.number_or("region_bits_per_second", 0, 0, most_rate);
+    parsed.region_latency_us =
+        reader.number_or("region_latency_us", 0, 0, max_rate);
+    parsed.region_bits_per_second =
+        reader.number_or("region_bits_per_second", 0, 0, max_rate);
     if (reader.has("workspaces"))
     {
-        read.workspaces = source.value["workspaces"];
+        parsed.workspaces = source.value["workspaces"];
     }
     reader.finish();
-    return read;
+    return parsed;
 }
 
-std::vector<vm> make_vms(deployment const& from)
+std::vector<vm> make_vms(deployment const& fleet_layout)
 {
     std::vector<vm> vms;
-    for (std::size_t index = 0; index < from.domains.size(); ++index)
+    for (std::size_t index = 0; index < fleet_layout.domains.size(); ++index)
     {
-        auto const& place = from.domains[index];
+        auto const& failure_domain = fleet_layout.domains[index];
         auto number = 0;
         auto const add = [&](vm_kind kind, std::uint32_t count)
         {
-            for (std::uint32_t made = 1; made <= count; ++made)
+            for (std::uint32_t kind_number = 1; kind_number <= count;
+                 ++kind_number)
             {
                 ++number;
                 vms.push_back(
-                    {place.name + "-" + kind_name(kind) + "-" +
-                         std::to_string(made),
+                    {failure_domain.name + "-" + kind_name(kind) + "-" +
+                         std::to_string(kind_number),
                      kind, index,
-                     domain_network(from, index) + std::to_string(number)});
+                     domain_network(fleet_layout, index) +
+                         std::to_string(number)});
             }
         };
-        add(vm_kind::entry, place.entries);
-        add(vm_kind::engine, place.engines);
-        add(vm_kind::booking, place.booking);
-        add(vm_kind::supporting, place.supporting);
+        add(vm_kind::entry, failure_domain.entries);
+        add(vm_kind::engine, failure_domain.engines);
+        add(vm_kind::booking, failure_domain.booking);
+        add(vm_kind::supporting, failure_domain.supporting);
     }
     return vms;
 }
 
-std::string store_address(deployment const& from)
+std::string store_address(deployment const& fleet_layout)
 {
-    return own_network(from) + "200.1";
+    return own_network(fleet_layout) + "200.1";
 }
 
-std::string link_control_address(deployment const& from)
+std::string link_control_address(deployment const& fleet_layout)
 {
-    return own_network(from) + "200.2";
+    return own_network(fleet_layout) + "200.2";
 }
 
-std::string domain_network(deployment const& from, std::size_t domain)
+std::string domain_network(deployment const& fleet_layout, std::size_t domain)
 {
-    return own_network(from) + std::to_string(domain + 1) + ".";
+    return own_network(fleet_layout) + std::to_string(domain + 1) + ".";
 }
 
 std::string through_link(
-    deployment const& from, std::size_t from_region, std::string const& address)
+    deployment const& fleet_layout,
+    std::size_t from_region,
+    std::string const& address)
 {
-    auto const network = from.network + 1 + from_region;
+    auto const network = fleet_layout.network + 1 + from_region;
     return "127." + std::to_string(network) + "." +
-           address.substr(own_network(from).size());
+           address.substr(own_network(fleet_layout).size());
 }
 
-std::vector<std::string> regions_of(deployment const& from)
+std::vector<std::string> regions_of(deployment const& fleet_layout)
 {
     std::vector<std::string> regions;
-    for (auto const& place : from.domains)
+    for (auto const& failure_domain : fleet_layout.domains)
     {
-        if (std::ranges::find(regions, place.region) == regions.end())
+        if (std::ranges::find(regions, failure_domain.region) == regions.end())
         {
-            regions.push_back(place.region);
+            regions.push_back(failure_domain.region);
         }
     }
     return regions;
 }
 
-std::size_t region_index(deployment const& from, std::string const& region)
+std::size_t
+region_index(deployment const& fleet_layout, std::string const& region)
 {
-    auto const regions = regions_of(from);
+    auto const regions = regions_of(fleet_layout);
     return static_cast<std::size_t>(
         std::ranges::find(regions, region) - regions.begin());
 }
--- a/tools/scenario/src/deployment.hpp
+++ b/tools/scenario/src/deployment.hpp
@@ -12,7 +12,7 @@
 namespace foxtailvale::scenario
 {
 
-// One failure domain and how many VMs of each kind it has.
+// A failure domain and its number of VMs of each kind.
 struct domain
 {
     std::string name;
@@ -23,7 +23,8 @@
     std::uint32_t supporting = 0;
 };
 
-// A user's fleet, from which settings of all processes are made.
+// Layout of a user's fleet, from which the settings of all processes are
+// generated.
 struct deployment
 {
     std::string name;
@@ -35,10 +36,11 @@
     std::uint64_t region_latency_us = 0;
     std::uint64_t region_bits_per_second = 0;
     nlohmann::json workspaces;
-    // How agents distribute weights; for measurements.
+    // Distribution method of the agents; other values are for measurements.
     std::string distribution = "forest";
-    // Second number of the loopback addresses of the VMs; the links' addresses
-    // follow on it. Two fleets can run side by side with numbers ten apart.
+    // Second number of the loopback addresses of the VMs. The links use the
+    // numbers that follow it, so two fleets can run side by side if their
+    // numbers are ten apart.
     unsigned network = 1;
 };
 
@@ -64,8 +66,8 @@
     std::string address;
 };
 
-// All VMs of a deployment, the same each time.
-std::vector<vm> make_vms(deployment const& from);
+// Returns all VMs of a deployment; the result is deterministic.
+std::vector<vm> make_vms(deployment const& fleet_layout);
 
 // Ports, the same on every VM.
 inline constexpr std::uint16_t peer_port = 7000;
@@ -78,25 +80,26 @@
 inline constexpr std::uint16_t link_control_port = 8100;
 
 // Address of the platform and the origin in the store's region.
-std::string store_address(deployment const& from);
+std::string store_address(deployment const& fleet_layout);
 
-// Address of the links' switchboards.
-std::string link_control_address(deployment const& from);
+// Address on which the links are controlled.
+std::string link_control_address(deployment const& fleet_layout);
 
-// First numbers of the addresses of a domain's VMs, "127.1.2.".
-std::string domain_network(deployment const& from, std::size_t domain);
+// Address prefix of a domain's VMs, for example "127.1.2.".
+std::string domain_network(deployment const& fleet_layout, std::size_t domain);
 
-// The address under which a VM of the region with this index (from 0) reaches
-// an address of another region: through the link.
+// Returns the address under which a VM of the region with this index (from 0)
+// reaches, through a link, the given address of another region.
 std::string through_link(
-    deployment const& from,
+    deployment const& fleet_layout,
     std::size_t from_region,
     std::string const& address);
 
-// Regions in the order in which the domains name them.
-std::vector<std::string> regions_of(deployment const& from);
+// Returns the regions in the order in which the domains name them.
+std::vector<std::string> regions_of(deployment const& fleet_layout);
 
-std::size_t region_index(deployment const& from, std::string const& region);
+std::size_t
+region_index(deployment const& fleet_layout, std::string const& region);
 
 } // namespace foxtailvale::scenario
 
--- a/tools/scenario/src/fleet.cpp
+++ b/tools/scenario/src/fleet.cpp
@@ -22,8 +22,8 @@
 
 constexpr char const* standins_name = "standins";
 constexpr milliseconds start_poll{50};
-constexpr int most_page_tries = 5;
-constexpr int most_start_polls = 400;
+constexpr int max_page_attempts = 5;
+constexpr int max_start_polls = 400;
 
 } // namespace
 
@@ -31,17 +31,19 @@
     fleet_paths where,
     deployment layout,
     std::vector<origin_version> const& versions)
-    : paths(std::move(where)), from(std::move(layout)),
-      machines(make_vms(this->from))
+    : paths(std::move(where)), fleet_layout(std::move(layout)),
+      machines(make_vms(this->fleet_layout))
 {
     std::filesystem::remove_all(this->paths.work);
     std::filesystem::create_directories(this->paths.work);
     this->start(
         "foxtailvale-standins", standins_name,
-        standin_settings(this->from, this->machines, versions));
-    for (int poll = 0; poll < most_start_polls; ++poll)
+        standin_settings(this->fleet_layout, this->machines, versions));
+    for (int poll = 0; poll < max_start_polls; ++poll)
     {
-        if (!this->page(store_address(this->from), origin_port, "/counters")
+        if (!this->page(
+                     store_address(this->fleet_layout), origin_port,
+                     "/counters")
                  .is_null())
         {
             break;
@@ -56,7 +58,7 @@
 
 deployment const& fleet::layout() const
 {
-    return this->from;
+    return this->fleet_layout;
 }
 
 std::vector<vm> const& fleet::vms() const
@@ -90,7 +92,7 @@
 
 int fleet::apply_file(std::string const& path)
 {
-    auto const platform = "http://" + store_address(this->from) + ":" +
+    auto const platform = "http://" + store_address(this->fleet_layout) + ":" +
                           std::to_string(platform_port);
     child_process ctl(
         {this->paths.programs + "/foxtailvalectl", "--platform", platform,
@@ -102,10 +104,10 @@
 std::string fleet::text_page(
     std::string const& address, std::uint16_t port, std::string const& path)
 {
-    http::request ask;
-    ask.base = "http://" + address + ":" + std::to_string(port);
-    ask.path = path;
-    auto const answer = http::call(ask);
+    http::request http_request;
+    http_request.base = "http://" + address + ":" + std::to_string(port);
+    http_request.path = path;
+    auto const answer = http::call(http_request);
     if (!answer || answer.value().status != 200)
     {
         return {};
@@ -123,14 +125,14 @@
 
 std::vector<json> fleet::link_counters()
 {
-    auto const regions = regions_of(this->from).size();
+    auto const regions = regions_of(this->fleet_layout).size();
     auto const links = regions * (regions - 1) / 2 + regions;
     std::vector<json> counters;
     for (std::size_t link = 0; link < links; ++link)
     {
         auto const port = static_cast<std::uint16_t>(link_control_port + link);
-        counters.push_back(this->sure_page(
-            link_control_address(this->from), port, "/counters"));
+        counters.push_back(this->required_page(
+            link_control_address(this->fleet_layout), port, "/counters"));
     }
     return counters;
 }
@@ -138,17 +140,17 @@
 bool fleet::answers(
     std::string const& address, std::uint16_t port, std::string const& path)
 {
-    http::request ask;
-    ask.base = "http://" + address + ":" + std::to_string(port);
-    ask.path = path;
-    auto const answer = http::call(ask);
+    http::request http_request;
+    http_request.base = "http://" + address + ":" + std::to_string(port);
+    http_request.path = path;
+    auto const answer = http::call(http_request);
     return answer && answer.value().status == 200;
 }
 
-json fleet::sure_page(
+json fleet::required_page(
     std::string const& address, std::uint16_t port, std::string const& path)
 {
-    for (int tries = 0; tries < most_page_tries; ++tries)
+    for (int tries = 0; tries < max_page_attempts; ++tries)
     {
         auto found = this->page(address, port, path);
         if (!found.is_null())
@@ -168,12 +170,12 @@
 void fleet::control(
     std::string const& address, std::uint16_t port, json const& value)
 {
-    http::request ask;
-    ask.base = "http://" + address + ":" + std::to_string(port);
-    ask.method = "POST";
-    ask.path = "/control";
-    ask.body = value.dump();
-    static_cast<void>(http::call(ask));
+    http::request http_request;
+    http_request.base = "http://" + address + ":" + std::to_string(port);
+    http_request.method = "POST";
+    http_request.path = "/control";
+    http_request.body = value.dump();
+    static_cast<void>(http::call(http_request));
 }
 
 bool fleet::signal(std::string const& name, int number)
@@ -200,7 +202,7 @@
     return code;
 }
 
-void fleet::start_again(std::string const& name)
+void fleet::start_ended_process(std::string const& name)
 {
     for (auto const& machine : this->machines)
     {
@@ -231,7 +233,8 @@
 {
     auto const program = machine.kind == vm_kind::entry ? "foxtailvale-entry"
                                                         : "foxtailvale-agent";
-    this->start(program, machine.name, node_settings(this->from, machine));
+    this->start(
+        program, machine.name, node_settings(this->fleet_layout, machine));
 }
 
 bool fleet::stop()
--- a/tools/scenario/src/main.cpp
+++ b/tools/scenario/src/main.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-int run(
+int run_demonstration(
     std::string const& path,
     unsigned network,
     foxtailvale::scenario::fleet_paths const& to)
@@ -49,7 +49,7 @@
     return scenario::run_scenario(to, *script);
 }
 
-// One seed after the other until the time is over; 1 when one broke a promise.
+// Runs consecutive seeds until the time is over. Returns 1 if a run failed.
 int run_chaos(
     std::string const& deployment_path,
     unsigned network,
@@ -84,7 +84,7 @@
 
 } // namespace
 
-int main(int count, char** words)
+int main(int argc, char** argv)
 {
     try
     {
@@ -120,7 +120,7 @@
             line);
         TCLAP::ValueArg<unsigned> const agents(
             "", "agents", "agents of bench-control", false, 50, "NUMBER", line);
-        line.parse(count, words);
+        line.parse(argc, argv);
         if (command.getValue() == "bench-control")
         {
             return foxtailvale::scenario::run_control_bench(
@@ -147,7 +147,7 @@
                       << command.getValue() << "\n";
             return foxtailvale::cli::exit_usage;
         }
-        return run(
+        return run_demonstration(
             deployment.getValue(), network.getValue(),
             {programs.getValue(), work.getValue()});
     }
--- a/tools/scenario/src/process_usage.cpp
+++ b/tools/scenario/src/process_usage.cpp
@@ -11,7 +11,8 @@
 namespace
 {
 
-// Fields of /proc/PID/stat after the name in brackets, counted from zero.
+// Indices, from 0, of the fields of /proc/PID/stat that follow the process name
+// in parentheses.
 constexpr int user_time_field = 11;
 constexpr int system_time_field = 12;
 constexpr int resident_pages_field = 21;
--- a/tools/scenario/src/process_usage.hpp
+++ b/tools/scenario/src/process_usage.hpp
@@ -10,18 +10,18 @@
 namespace foxtailvale::scenario
 {
 
-// What one process has used so far, as the system counts it.
+// Resource usage of a process so far, as counted by the system.
 struct process_usage
 {
     std::chrono::milliseconds processor{0};
     std::uint64_t resident_bytes = 0;
 };
 
-// Zero for a process that has ended.
+// Reads the usage of a process; all zero if it has ended.
 process_usage read_usage(pid_t process);
 
-// Sum of a Prometheus counter's series that carry the label, from the text of
-// a metrics page.
+// Returns the sum of those series of a Prometheus counter that contain the
+// label, from the text of a metrics page.
 double counter_sum(
     std::string const& page, std::string const& name, std::string const& label);
 
--- a/tools/scenario/src/scenario_file.cpp
+++ b/tools/scenario/src/scenario_file.cpp
@@ -14,9 +14,9 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds longest{600'000};
-constexpr std::uint64_t most_rate = 1000;
-constexpr std::uint64_t most_amount = 100'000;
+constexpr milliseconds max_time{600'000};
+constexpr std::uint64_t max_rate = 1000;
+constexpr std::uint64_t max_amount = 100'000;
 constexpr std::uint64_t bytes_per_kib = 1024;
 
 struct kind_row
@@ -57,12 +57,12 @@
 {
     scenario_step step;
     step.at = reader.milliseconds_or(
-        "at_ms", milliseconds(0), milliseconds(0), longest);
-    auto const word = reader.text("do");
-    auto const row = std::ranges::find(kinds, word, &kind_row::name);
+        "at_ms", milliseconds(0), milliseconds(0), max_time);
+    auto const step_name = reader.text("do");
+    auto const row = std::ranges::find(kinds, step_name, &kind_row::name);
     if (row == kinds.end())
     {
-        reader.add_fault("do", "no such step: " + word);
+        reader.add_fault("do", "no such step: " + step_name);
         return step;
     }
     step.kind = row->kind;
@@ -72,8 +72,8 @@
         reader.add_fault("target", "no such VM or failure domain");
     }
     step.length = reader.milliseconds_or(
-        "for_ms", milliseconds(0), milliseconds(0), longest);
-    step.amount = reader.number_or("amount", 1, 1, most_amount);
+        "for_ms", milliseconds(0), milliseconds(0), max_time);
+    step.amount = reader.number_or("amount", 1, 1, max_amount);
     reader.finish();
     return step;
 }
@@ -83,14 +83,14 @@
     auto const rate = [&](char const* key)
     {
         return static_cast<std::uint32_t>(
-            reader.number_or(key, 0, 0, most_rate));
+            reader.number_or(key, 0, 0, max_rate));
     };
     into.chats_per_second = rate("chats_per_second");
     into.bookings_per_second = rate("bookings_per_second");
     into.load_length = reader.milliseconds_or(
-        "length_ms", milliseconds(8000), milliseconds(1), longest);
+        "length_ms", milliseconds(8000), milliseconds(1), max_time);
     into.deadline = reader.milliseconds_or(
-        "deadline_ms", milliseconds(5000), milliseconds(1), longest);
+        "deadline_ms", milliseconds(5000), milliseconds(1), max_time);
     reader.finish();
 }
 
@@ -124,37 +124,37 @@
         return std::nullopt;
     }
     release::object_reader reader(source, "", source.faults);
-    scenario_file read;
-    read.story = reader.text("story");
+    scenario_file parsed;
+    parsed.story = reader.text("story");
     auto const folder = std::filesystem::path(path).parent_path();
     auto layout =
         release::load_document((folder / reader.text("deployment")).string());
     if (layout.faults.empty())
     {
-        read.fleet = read_deployment(layout);
+        parsed.fleet = read_deployment(layout);
     }
     if (!layout.faults.empty())
     {
         faults = describe(layout, layout.faults);
         return std::nullopt;
     }
-    read.model_bytes =
+    parsed.model_bytes =
         reader.number_or("model_kib", 1024, 1, 65536) * bytes_per_kib;
-    read_load(reader.child("load"), read);
+    read_load(reader.child("load"), parsed);
     for (std::size_t index = 0; index < reader.size("steps"); ++index)
     {
-        read.steps.push_back(
-            read_step(reader.element("steps", index), read.fleet));
+        parsed.steps.push_back(
+            read_step(reader.element("steps", index), parsed.fleet));
     }
-    read.outcomes = read_outcomes(reader.child("outcomes"));
+    parsed.outcomes = read_outcomes(reader.child("outcomes"));
     reader.finish();
     if (!source.faults.empty())
     {
         faults = describe(source, source.faults);
         return std::nullopt;
     }
-    std::ranges::stable_sort(read.steps, {}, &scenario_step::at);
-    return read;
+    std::ranges::stable_sort(parsed.steps, {}, &scenario_step::at);
+    return parsed;
 }
 
 } // namespace foxtailvale::scenario
--- a/tools/scenario/src/scenario_file.hpp
+++ b/tools/scenario/src/scenario_file.hpp
@@ -11,7 +11,7 @@
 namespace foxtailvale::scenario
 {
 
-// What a step of a scenario does; docs/SCENARIOS.md describes each.
+// Kinds of steps; docs/SCENARIOS.md describes each.
 enum class step_kind
 {
     kill,
@@ -35,24 +35,25 @@
 
 struct scenario_step
 {
-    // From the start of the load.
+    // Time since the start of the load.
     std::chrono::milliseconds at{0};
     step_kind kind = step_kind::kill;
-    // A process or a failure domain; empty when the step needs none.
+    // Name of a VM or failure domain; empty if the step needs none.
     std::string target;
-    // How long the fault lasts; zero: to the end of the run.
+    // Duration of the fault; zero means until the end of the run.
     std::chrono::milliseconds length{0};
     // Count, factor or delay in milliseconds.
     std::uint64_t amount = 0;
 };
 
-// What must be seen besides the promises, which always are judged.
+// Outcomes that must be met in addition to the promises, which are always
+// checked.
 struct stated_outcomes
 {
-    // Of chats and of bookings, in percent, at least.
+    // Minimum percentage of chats and of bookings with the right answer.
     std::uint64_t chats_right = 0;
     std::uint64_t bookings_right = 0;
-    // Chats are answered from the newest version at the end.
+    // Whether all engines must serve the newest version at the end.
     bool newest_version_serves = true;
 };
 
@@ -65,16 +66,17 @@
     std::uint32_t bookings_per_second = 0;
     std::chrono::milliseconds load_length{0};
     std::chrono::milliseconds deadline{0};
-    // In order of time.
+    // Ordered by time.
     std::vector<scenario_step> steps;
     stated_outcomes outcomes;
 };
 
-// The word for a step in a file.
+// Name of a step in a scenario file.
 std::string_view name_of(step_kind kind);
 
-// Reads a scenario with the deployment it names (a path from the scenario's
-// folder); on faults prints them to the text and returns nothing.
+// Reads a scenario and the deployment that it names (a path relative to the
+// scenario's folder). If there are faults, writes them to the text and returns
+// std::nullopt.
 std::optional<scenario_file>
 load_scenario(std::string const& path, std::string& faults);
 
--- a/tools/scenario/src/scenario_run.cpp
+++ b/tools/scenario/src/scenario_run.cpp
@@ -33,7 +33,8 @@
 constexpr milliseconds poll_interval{50};
 constexpr seconds max_wait{40};
 constexpr seconds settle_time{2};
-// After a process's return its callers' side needs a moment.
+// Time after the return of an entry within which its callers' connections may
+// still fail.
 constexpr milliseconds return_grace{1500};
 constexpr int warm_limit = 8;
 constexpr int cold_limit = 2;
@@ -58,14 +59,14 @@
     return false;
 }
 
-// One action at its time: a step, or the end of a step's fault.
+// An action at its time: the start of a step, or the end of a step's fault.
 struct timed_action
 {
     milliseconds at{0};
     std::function<void()> work;
 };
 
-// One scenario in progress.
+// A scenario in progress.
 class scenario_run
 {
 public:
@@ -92,20 +93,20 @@
             {
                 return load::run_load(this->make_load());
             });
-        this->carry_out(clock::now());
+        this->execute_steps(clock::now());
         auto const report = live.get();
-        if (this->note_work.valid())
+        if (this->pending_notes.valid())
         {
-            this->note_work.wait();
+            this->pending_notes.wait();
         }
-        for (auto& sent : this->marked)
+        for (auto& pending_request : this->crash_requests)
         {
-            sent.wait();
+            pending_request.wait();
         }
         this->collect(report);
         this->check_newest();
-        this->stop_rest();
-        return this->judge(report);
+        this->stop_fleet();
+        return this->report_result(report);
     }
 
 private:
@@ -119,25 +120,25 @@
         return *std::ranges::find(this->running.vms(), name, &vm::name);
     }
 
-    std::string caller_address(vm const& at) const
+    std::string caller_address(vm const& host) const
     {
-        return "http://" + at.address + ":" + std::to_string(caller_port);
+        return "http://" + host.address + ":" + std::to_string(caller_port);
     }
 
-    // Address that the load tool knows an entry by; empty for an agent.
+    // URL by which the load tool identifies an entry; empty for an agent.
     std::string entry_address(std::string const& name) const
     {
-        auto const& at = this->machine(name);
-        return at.kind == vm_kind::entry ? this->caller_address(at)
-                                         : std::string();
+        auto const& host = this->machine(name);
+        return host.kind == vm_kind::entry ? this->caller_address(host)
+                                           : std::string();
     }
 
     json model_clause(std::string const& digest) const
     {
         json replicas;
-        for (auto const& place : this->script.fleet.domains)
+        for (auto const& failure_domain : this->script.fleet.domains)
         {
-            replicas[place.name] = place.engines;
+            replicas[failure_domain.name] = failure_domain.engines;
         }
         return {
             {"digest", digest},
@@ -151,14 +152,17 @@
     {
         json note{{"note", 1}, {"follows", 0}, {"summary", "first"}};
         auto& added = note["added"];
-        auto const& from = this->script.fleet;
-        added["models"][from.model] = this->model_clause(this->first.digest);
-        added["services"][from.booking_service] = {{"repeatable", false}};
-        for (auto const& place : from.domains)
+        auto const& fleet_layout = this->script.fleet;
+        added["models"][fleet_layout.model] =
+            this->model_clause(this->first.digest);
+        added["services"][fleet_layout.booking_service] = {
+            {"repeatable", false}};
+        for (auto const& failure_domain : fleet_layout.domains)
         {
-            added["domains"][place.name] = {{"region", place.region}};
+            added["domains"][failure_domain.name] = {
+                {"region", failure_domain.region}};
         }
-        for (auto const& workspace : from.workspaces)
+        for (auto const& workspace : fleet_layout.workspaces)
         {
             added["workspaces"][workspace["name"].get<std::string>()] = {
                 {"weight", workspace["weight"]}};
@@ -176,21 +180,21 @@
             return false;
         }
         this->notes = number;
-        std::lock_guard const lock(this->seen_mutex);
-        this->seen.notes.push_back(
+        std::lock_guard const lock(this->evidence_mutex);
+        this->recorded.notes.push_back(
             {static_cast<std::uint64_t>(number),
              wall_now(),
              {this->first.digest, this->second.digest}});
         return true;
     }
 
-    // Notes follow on each other on a thread of their own: one that an outage
-    // holds up must not hold up the step that ends the outage.
+    // Applies notes one after the other on a separate thread: a note that is
+    // delayed by an outage must not delay the step that ends the outage.
     void queue_note(std::function<void()> work)
     {
-        this->note_work = std::async(
+        this->pending_notes = std::async(
             std::launch::async,
-            [before = std::move(this->note_work), work = std::move(work)]
+            [before = std::move(this->pending_notes), work = std::move(work)]
             {
                 if (before.valid())
                 {
@@ -200,8 +204,9 @@
             });
     }
 
-    // A note during an outage is refused or unanswered; the operator repeats.
-    void apply_again(json const& note)
+    // During an outage, a note is refused or not answered; the operator applies
+    // it again.
+    void apply_until_accepted(json const& note)
     {
         if (!wait_until(
                 [&]
@@ -213,18 +218,18 @@
         }
     }
 
-    bool all_engines_hold(std::string const& digest)
+    bool all_engines_serve(std::string const& digest)
     {
         return std::ranges::all_of(
             this->running.vms(),
-            [&](vm const& at)
+            [&](vm const& host)
             {
-                if (at.kind != vm_kind::engine || this->is_down(at.name))
+                if (host.kind != vm_kind::engine || this->is_down(host.name))
                 {
                     return true;
                 }
                 auto const state =
-                    this->running.page(at.address, endpoint_port, "/state");
+                    this->running.page(host.address, endpoint_port, "/state");
                 return state.is_object() && !state["models"].empty() &&
                        state["models"][0]["digest"] == digest;
             });
@@ -232,16 +237,16 @@
 
     bool is_down(std::string const& name) const
     {
-        return this->down.contains(name);
+        return this->down_processes.contains(name);
     }
 
     void prepare()
     {
-        this->apply_again(this->first_note());
+        this->apply_until_accepted(this->first_note());
         if (!wait_until(
                 [this]
                 {
-                    return this->all_engines_hold(this->first.digest);
+                    return this->all_engines_serve(this->first.digest);
                 }))
         {
             this->fail("the first version never served everywhere");
@@ -252,11 +257,11 @@
     load::load_settings make_load() const
     {
         load::load_settings settings;
-        for (auto const& at : this->running.vms())
+        for (auto const& host : this->running.vms())
         {
-            if (at.kind == vm_kind::entry)
+            if (host.kind == vm_kind::entry)
             {
-                settings.entries.push_back(this->caller_address(at));
+                settings.entries.push_back(this->caller_address(host));
             }
         }
         for (auto const& workspace : this->script.fleet.workspaces)
@@ -273,7 +278,7 @@
         return settings;
     }
 
-    void carry_out(clock::time_point start)
+    void execute_steps(clock::time_point start)
     {
         std::vector<timed_action> actions;
         for (auto const& step : this->script.steps)
@@ -303,25 +308,25 @@
         }
     }
 
-    void to_platform(json const& value)
+    void control_platform(json const& value)
     {
         this->running.control(
             store_address(this->script.fleet), platform_port, value);
     }
 
-    void to_origin(json const& value)
+    void control_origin(json const& value)
     {
         this->running.control(
             store_address(this->script.fleet), origin_port, value);
     }
 
-    void to_endpoint(std::string const& name, json const& value)
+    void control_endpoint(std::string const& name, json const& value)
     {
         this->running.control(
             this->machine(name).address, endpoint_port, value);
     }
 
-    void to_links(json const& value)
+    void control_links(json const& value)
     {
         auto const regions = regions_of(this->script.fleet).size();
         for (std::size_t link = 0; link < regions * (regions - 1) / 2; ++link)
@@ -332,22 +337,22 @@
         }
     }
 
-    // Notes that configurations may spread late from now on.
-    void note_partition(scenario_step const& step)
+    // Records that configurations may spread late from now on.
+    void record_partition(scenario_step const& step)
     {
         auto const now = wall_now();
         auto const length =
             step.length.count() > 0 ? step.length : milliseconds(max_wait);
-        this->seen.partitions.push_back({now, now + length});
+        this->recorded.partitions.push_back({now, now + length});
     }
 
-    void note_down(std::string const& name, milliseconds length)
+    void record_entry_fault(std::string const& name, milliseconds length)
     {
         auto const entry = this->entry_address(name);
         if (!entry.empty())
         {
             auto const now = wall_now();
-            this->seen.entry_faults.push_back(
+            this->recorded.entry_faults.push_back(
                 {entry, now,
                  now + (length.count() > 0 ? length + return_grace
                                            : milliseconds(max_wait))});
@@ -356,35 +361,37 @@
 
     void stop_by_plan(std::string const& name)
     {
-        auto const asked = wall_now();
+        auto const requested_at = wall_now();
         auto const code = this->running.end(name, SIGTERM);
-        this->seen.stops.push_back(
-            {name, this->entry_address(name), asked, wall_now(), code});
-        this->seen.endpoints_leaving.push_back({name, asked, asked + max_wait});
-        this->down.insert(name);
-        this->note_down(name, milliseconds(0));
+        this->recorded.stops.push_back(
+            {name, this->entry_address(name), requested_at, wall_now(), code});
+        this->recorded.endpoints_leaving.push_back(
+            {name, requested_at, requested_at + max_wait});
+        this->down_processes.insert(name);
+        this->record_entry_fault(name, milliseconds(0));
     }
 
-    // The stop waits for its work, so later steps must not wait for it.
+    // A stop step blocks until the process has ended, which delays the steps
+    // after it.
     void begin(scenario_step const& step)
     {
         switch (step.kind)
         {
         case step_kind::kill:
-            this->note_down(step.target, step.length);
-            this->down.insert(step.target);
+            this->record_entry_fault(step.target, step.length);
+            this->down_processes.insert(step.target);
             this->running.end(step.target, SIGKILL);
             break;
         case step_kind::freeze:
-            this->note_down(step.target, step.length);
-            this->note_partition(step);
+            this->record_entry_fault(step.target, step.length);
+            this->record_partition(step);
             this->running.signal(step.target, SIGSTOP);
             break;
         case step_kind::stop:
             this->stop_by_plan(step.target);
             break;
         case step_kind::start:
-            this->start_again(step.target);
+            this->start_ended_process(step.target);
             break;
         case step_kind::domain_out:
             this->queue_note(
@@ -394,14 +401,14 @@
                 });
             break;
         case step_kind::domain_in:
-            this->queue_return(step.target);
+            this->queue_return_to_service(step.target);
             break;
         case step_kind::new_version:
             this->newest = this->second.digest;
             this->queue_note(
                 [this]
                 {
-                    this->apply_again(
+                    this->apply_until_accepted(
                         {{"changed",
                           {{"models",
                             {{this->script.fleet.model,
@@ -409,47 +416,48 @@
                 });
             break;
         default:
-            this->begin_outside(step);
+            this->begin_external_fault(step);
         }
     }
 
-    // Faults of what is not the system's own.
-    void begin_outside(scenario_step const& step)
+    // Begins faults of components outside the system: links, the platform, the
+    // origin and the endpoints.
+    void begin_external_fault(scenario_step const& step)
     {
         switch (step.kind)
         {
         case step_kind::cut_links:
-            this->note_partition(step);
-            this->to_links({{"cut", "both"}});
+            this->record_partition(step);
+            this->control_links({{"cut", "both"}});
             break;
         case step_kind::platform_outage:
-            this->note_partition(step);
-            this->to_platform({{"outage", true}});
+            this->record_partition(step);
+            this->control_platform({{"outage", true}});
             break;
         case step_kind::platform_slow:
-            this->note_partition(step);
-            this->to_platform({{"delay_ms", step.amount}});
+            this->record_partition(step);
+            this->control_platform({{"delay_ms", step.amount}});
             break;
         case step_kind::platform_lose_answers:
-            this->to_platform({{"lost_answers", step.amount}});
+            this->control_platform({{"lost_answers", step.amount}});
             break;
         case step_kind::origin_outage:
-            this->to_origin({{"outage", true}});
+            this->control_origin({{"outage", true}});
             break;
         case step_kind::origin_corrupt:
-            this->to_origin({{"corrupt_chunks", step.amount}});
+            this->control_origin({{"corrupt_chunks", step.amount}});
             break;
         case step_kind::turn_cold:
-            this->to_endpoint(step.target, {{"turn_cold", true}});
+            this->control_endpoint(step.target, {{"turn_cold", true}});
             break;
         case step_kind::fall_over:
-            this->to_endpoint(step.target, {{"fall_over", true}});
+            this->control_endpoint(step.target, {{"fall_over", true}});
             break;
         case step_kind::slow_engine:
-            this->to_endpoint(step.target, {{"slowness", step.amount}});
+            this->control_endpoint(step.target, {{"slowness", step.amount}});
             break;
         default:
-            this->send_marked(step.amount);
+            this->send_crash_requests(step.amount);
         }
     }
 
@@ -458,45 +466,45 @@
         switch (step.kind)
         {
         case step_kind::kill:
-            this->start_again(step.target);
+            this->start_ended_process(step.target);
             break;
         case step_kind::freeze:
             this->running.signal(step.target, SIGCONT);
             break;
         case step_kind::domain_out:
-            this->queue_return(step.target);
+            this->queue_return_to_service(step.target);
             break;
         case step_kind::cut_links:
-            this->to_links({{"cut", "none"}});
+            this->control_links({{"cut", "none"}});
             break;
         case step_kind::platform_outage:
-            this->to_platform({{"outage", false}});
+            this->control_platform({{"outage", false}});
             break;
         case step_kind::platform_slow:
-            this->to_platform({{"delay_ms", 0}});
+            this->control_platform({{"delay_ms", 0}});
             break;
         case step_kind::origin_outage:
-            this->to_origin({{"outage", false}});
+            this->control_origin({{"outage", false}});
             break;
         case step_kind::slow_engine:
-            this->to_endpoint(step.target, {{"slowness", 1}});
+            this->control_endpoint(step.target, {{"slowness", 1}});
             break;
         default:
             break;
         }
     }
 
-    void start_again(std::string const& name)
+    void start_ended_process(std::string const& name)
     {
-        this->running.start_again(name);
-        this->down.erase(name);
+        this->running.start_ended_process(name);
+        this->down_processes.erase(name);
         auto const now = wall_now();
-        for (auto& gone : this->seen.endpoints_leaving)
+        for (auto& gone : this->recorded.endpoints_leaving)
         {
             gone.until =
                 gone.subject == name ? std::min(gone.until, now) : gone.until;
         }
-        for (auto& fault : this->seen.entry_faults)
+        for (auto& fault : this->recorded.entry_faults)
         {
             if (fault.entry == this->entry_address(name))
             {
@@ -507,26 +515,27 @@
 
     void take_out_of_service(std::string const& domain)
     {
-        this->apply_again({{"failure_domains", {{domain, "out"}}}});
+        this->apply_until_accepted({{"failure_domains", {{domain, "out"}}}});
         auto const now = wall_now();
-        std::lock_guard const lock(this->seen_mutex);
-        this->seen.domains_out.push_back({domain, now, now + max_wait});
+        std::lock_guard const lock(this->evidence_mutex);
+        this->recorded.domains_out.push_back({domain, now, now + max_wait});
     }
 
-    void queue_return(std::string const& domain)
+    void queue_return_to_service(std::string const& domain)
     {
         this->queue_note(
             [this, domain]
             {
-                this->bring_back(domain);
+                this->return_to_service(domain);
             });
     }
 
     void end_absence(std::string const& domain)
     {
-        std::lock_guard const lock(this->seen_mutex);
-        // From the moment the note may have been accepted work is allowed.
-        for (auto& gone : this->seen.domains_out)
+        std::lock_guard const lock(this->evidence_mutex);
+        // Work is allowed from the moment at which the note may have been
+        // accepted.
+        for (auto& gone : this->recorded.domains_out)
         {
             gone.until = gone.subject == domain
                              ? std::min(gone.until, wall_now())
@@ -534,32 +543,33 @@
         }
     }
 
-    void bring_back(std::string const& domain)
+    void return_to_service(std::string const& domain)
     {
         this->end_absence(domain);
-        this->apply_again({{"failure_domains", {{domain, "in"}}}});
+        this->apply_until_accepted({{"failure_domains", {{domain, "in"}}}});
     }
 
-    // A request that crashes each engine that runs it, and its caller's
-    // repeats.
-    void send_marked(std::uint64_t count)
+    // Sends a request that crashes each engine that runs it, and its
+    // repetitions by the caller.
+    void send_crash_requests(std::uint64_t count)
     {
         auto const settings = this->make_load();
-        this->marked.push_back(std::async(
+        this->crash_requests.push_back(std::async(
             std::launch::async,
             [settings, count]
             {
-                for (std::uint64_t turn = 0; turn < count; ++turn)
+                for (std::uint64_t attempt = 0; attempt < count; ++attempt)
                 {
-                    http::request ask;
-                    ask.base = settings.entries[turn % settings.entries.size()];
-                    ask.method = "POST";
-                    ask.path = "/v1/chat/completions";
-                    ask.content_type = "application/json";
-                    ask.headers["X-Workspace"] =
+                    http::request http_request;
+                    http_request.base =
+                        settings.entries[attempt % settings.entries.size()];
+                    http_request.method = "POST";
+                    http_request.path = "/v1/chat/completions";
+                    http_request.content_type = "application/json";
+                    http_request.headers["X-Workspace"] =
                         settings.workspaces.front().name;
-                    ask.headers["X-Request-Id"] = "crash-1";
-                    ask.body =
+                    http_request.headers["X-Request-Id"] = "crash-1";
+                    http_request.body =
                         json{
                             {"model", settings.model},
                             {"messages",
@@ -567,25 +577,26 @@
                                  {{{"role", "user"},
                                    {"content", "crash-this-engine"}}})}}
                             .dump();
-                    static_cast<void>(http::call(ask));
+                    static_cast<void>(http::call(http_request));
                 }
             }));
     }
 
     void collect(json const& report)
     {
-        checker::add_load_report(this->seen, report);
-        for (auto const& at : this->running.vms())
+        checker::add_load_report(this->recorded, report);
+        for (auto const& host : this->running.vms())
         {
-            if (at.kind == vm_kind::entry)
+            if (host.kind == vm_kind::entry)
             {
                 continue;
             }
             auto const counters =
-                this->running.page(at.address, endpoint_port, "/counters");
+                this->running.page(host.address, endpoint_port, "/counters");
             checker::add_endpoint(
-                this->seen, at.name, this->script.fleet.domains[at.domain].name,
-                at.kind == vm_kind::booking, counters);
+                this->recorded, host.name,
+                this->script.fleet.domains[host.domain].name,
+                host.kind == vm_kind::booking, counters);
         }
         std::ofstream(this->paths.work + "/evidence.json")
             << report.dump(1) << "\n";
@@ -598,7 +609,7 @@
         auto const served = wait_until(
             [&]
             {
-                return this->all_engines_hold(wanted);
+                return this->all_engines_serve(wanted);
             });
         if (this->script.outcomes.newest_version_serves && !served)
         {
@@ -606,12 +617,12 @@
         }
     }
 
-    // The whole fleet leaves in an orderly way at the end.
-    void stop_rest()
+    // Stops the remaining fleet in an orderly way.
+    void stop_fleet()
     {
         if (!this->running.stop())
         {
-            this->seen.stops.push_back(
+            this->recorded.stops.push_back(
                 {"one of the rest", "", wall_now(), wall_now(), 1});
         }
     }
@@ -639,18 +650,18 @@
         }
     }
 
-    int judge(json const& report)
+    int report_result(json const& report)
     {
         std::cout << "  outcomes " << report["outcomes"] << " errors "
                   << report["errors"] << std::endl;
         this->require_share(report, false, this->script.outcomes.chats_right);
         this->require_share(report, true, this->script.outcomes.bookings_right);
-        auto const violations = checker::find_violations(this->seen);
-        constexpr std::size_t most_shown = 5;
+        auto const violations = checker::find_violations(this->recorded);
+        constexpr std::size_t max_shown = 5;
         std::map<checker::promise, std::size_t> shown;
         for (auto const& found : violations)
         {
-            if (++shown[found.broken] <= most_shown)
+            if (++shown[found.broken] <= max_shown)
             {
                 std::cout << "  BROKEN " << checker::name_of(found.broken)
                           << ": " << found.what << "\n";
@@ -668,14 +679,15 @@
     standins::synthetic_weights first;
     standins::synthetic_weights second;
     fleet running;
-    checker::evidence seen;
+    checker::evidence recorded;
     std::string newest;
-    std::set<std::string> down;
+    std::set<std::string> down_processes;
     std::vector<std::string> failures;
-    std::vector<std::future<void>> marked;
-    std::future<void> note_work;
-    // Guards what the notes' thread and the steps both add to the evidence.
-    std::mutex seen_mutex;
+    std::vector<std::future<void>> crash_requests;
+    std::future<void> pending_notes;
+    // Protects the parts of the evidence to which both the notes' thread and
+    // the steps add.
+    std::mutex evidence_mutex;
     int notes = 0;
 };
 
--- a/tools/scenario/src/scenario_run.hpp
+++ b/tools/scenario/src/scenario_run.hpp
@@ -7,10 +7,10 @@
 namespace foxtailvale::scenario
 {
 
-// Runs the scenario against real processes, lets the checker judge what the
-// stand-ins and the load tool recorded, and prints each broken promise and
-// each outcome that was not met. Writes evidence.json beside the logs. Returns
-// 0 when all held.
+// Runs the scenario with real processes, lets the checker evaluate what the
+// stand-ins and the load tool recorded, and prints each broken promise and each
+// outcome that was not met. Writes evidence.json beside the logs. Returns 0 if
+// all promises and outcomes held.
 int run_scenario(fleet_paths const& paths, scenario_file const& script);
 
 } // namespace foxtailvale::scenario
--- a/tools/scenario/src/settings_writer.cpp
+++ b/tools/scenario/src/settings_writer.cpp
@@ -10,48 +10,55 @@
 
 constexpr std::uint32_t engine_memory_mib = 256;
 
-std::string
-store_url(deployment const& from, std::string const& region, std::uint16_t port)
+std::string store_url(
+    deployment const& fleet_layout,
+    std::string const& region,
+    std::uint16_t port)
 {
-    auto address = store_address(from);
-    if (region != from.store_region)
+    auto address = store_address(fleet_layout);
+    if (region != fleet_layout.store_region)
     {
-        address = through_link(from, region_index(from, region), address);
+        address = through_link(
+            fleet_layout, region_index(fleet_layout, region), address);
     }
     return "http://" + address + ":" + std::to_string(port);
 }
 
-// Agents reach their own region through a link too, which counts whose bytes
-// they are; entries go straight.
-json rewrites(deployment const& from, std::string const& region, vm_kind kind)
+// Agents also reach their own region through a link, which counts the bytes of
+// each VM; entries connect directly.
+json rewrites(
+    deployment const& fleet_layout, std::string const& region, vm_kind kind)
 {
     json list = json::array();
-    for (std::size_t index = 0; index < from.domains.size(); ++index)
+    for (std::size_t index = 0; index < fleet_layout.domains.size(); ++index)
     {
-        if (kind == vm_kind::entry && from.domains[index].region == region)
+        if (kind == vm_kind::entry &&
+            fleet_layout.domains[index].region == region)
         {
             continue;
         }
-        auto const network = domain_network(from, index);
+        auto const network = domain_network(fleet_layout, index);
         list.push_back(
             {{"from", network},
-             {"to", through_link(from, region_index(from, region), network)}});
+             {"to",
+              through_link(
+                  fleet_layout, region_index(fleet_layout, region), network)}});
     }
     return list;
 }
 
-json listed_vms(deployment const& from, std::vector<vm> const& vms)
+json listed_vms(deployment const& fleet_layout, std::vector<vm> const& vms)
 {
     json list = json::array();
     for (auto const& machine : vms)
     {
-        auto const& place = from.domains[machine.domain];
+        auto const& failure_domain = fleet_layout.domains[machine.domain];
         auto const engine = machine.kind == vm_kind::engine;
         list.push_back(
             {{"name", machine.name},
              {"role", machine.kind == vm_kind::entry ? "entry" : "agent"},
-             {"failure_domain", place.name},
-             {"region", place.region},
+             {"failure_domain", failure_domain.name},
+             {"region", failure_domain.region},
              {"address", machine.address + ":" + std::to_string(peer_port)},
              {"memory_mib", engine ? engine_memory_mib : 0}});
     }
@@ -73,8 +80,8 @@
          {"target_port", port}});
 }
 
-// Each agent draws from the origin through a listening address of its own, so
-// that the link counts by VM.
+// Each agent fetches from the origin through its own listening address, so that
+// the link counts bytes by VM.
 void add_origin_routes(
     json& routes,
     deployment const& layout,
@@ -99,105 +106,112 @@
 }
 
 json link_between(
-    deployment const& from,
+    deployment const& fleet_layout,
     std::vector<vm> const& vms,
     std::size_t first,
     std::size_t second,
     std::uint16_t control_port)
 {
-    auto const regions = regions_of(from);
+    auto const regions = regions_of(fleet_layout);
     json routes = json::array();
-    auto const add_way = [&](std::size_t source, std::size_t target)
+    auto const add_direction = [&](std::size_t source, std::size_t target)
     {
         for (auto const& machine : vms)
         {
-            if (from.domains[machine.domain].region == regions[target])
+            if (fleet_layout.domains[machine.domain].region == regions[target])
             {
-                add_route(routes, from, source, machine.address, peer_port);
+                add_route(
+                    routes, fleet_layout, source, machine.address, peer_port);
             }
         }
-        if (regions[target] == from.store_region)
+        if (regions[target] == fleet_layout.store_region)
         {
-            add_route(routes, from, source, store_address(from), platform_port);
-            add_origin_routes(routes, from, vms, source);
+            add_route(
+                routes, fleet_layout, source, store_address(fleet_layout),
+                platform_port);
+            add_origin_routes(routes, fleet_layout, vms, source);
         }
     };
-    add_way(first, second);
-    add_way(second, first);
+    add_direction(first, second);
+    add_direction(second, first);
     return {
-        {"address", link_control_address(from)},
+        {"address", link_control_address(fleet_layout)},
         {"port", control_port},
         {"first", regions[first]},
         {"second", regions[second]},
-        {"latency_us", from.region_latency_us},
-        {"bits_per_second", from.region_bits_per_second},
+        {"latency_us", fleet_layout.region_latency_us},
+        {"bits_per_second", fleet_layout.region_bits_per_second},
         {"routes", std::move(routes)}};
 }
 
-// A link inside a region: no latency of its own and no limit, it only counts.
+// Returns a link inside a region. It adds no latency and has no bandwidth
+// limit; it only counts bytes.
 json link_inside(
-    deployment const& from,
+    deployment const& fleet_layout,
     std::vector<vm> const& vms,
     std::size_t region,
     std::uint16_t control_port)
 {
-    auto const name = regions_of(from)[region];
+    auto const name = regions_of(fleet_layout)[region];
     json routes = json::array();
     for (auto const& machine : vms)
     {
-        if (from.domains[machine.domain].region == name)
+        if (fleet_layout.domains[machine.domain].region == name)
         {
-            add_route(routes, from, region, machine.address, peer_port);
+            add_route(routes, fleet_layout, region, machine.address, peer_port);
         }
     }
-    if (name == from.store_region)
+    if (name == fleet_layout.store_region)
     {
-        add_origin_routes(routes, from, vms, region);
+        add_origin_routes(routes, fleet_layout, vms, region);
     }
     return {
-        {"address", link_control_address(from)},
+        {"address", link_control_address(fleet_layout)},
         {"port", control_port},
         {"first", name},
         {"second", name + " inside"},
         {"routes", std::move(routes)}};
 }
 
-json links(deployment const& from, std::vector<vm> const& vms)
+json links(deployment const& fleet_layout, std::vector<vm> const& vms)
 {
     json list = json::array();
-    auto const count = regions_of(from).size();
+    auto const count = regions_of(fleet_layout).size();
     for (std::size_t first = 0; first < count; ++first)
     {
         for (auto second = first + 1; second < count; ++second)
         {
             auto const port =
                 static_cast<std::uint16_t>(link_control_port + list.size());
-            list.push_back(link_between(from, vms, first, second, port));
+            list.push_back(
+                link_between(fleet_layout, vms, first, second, port));
         }
     }
     for (std::size_t region = 0; region < count; ++region)
     {
         auto const port =
             static_cast<std::uint16_t>(link_control_port + list.size());
-        list.push_back(link_inside(from, vms, region, port));
+        list.push_back(link_inside(fleet_layout, vms, region, port));
     }
     return list;
 }
 
 } // namespace
 
-json node_settings(deployment const& from, vm const& machine)
+json node_settings(deployment const& fleet_layout, vm const& machine)
 {
-    auto const& place = from.domains[machine.domain];
+    auto const& failure_domain = fleet_layout.domains[machine.domain];
     json settings{
         {"name", machine.name},
-        {"failure_domain", place.name},
-        {"region", place.region},
+        {"failure_domain", failure_domain.name},
+        {"region", failure_domain.region},
         {"address", machine.address},
         {"peer_port", peer_port},
         {"operator_port", operator_port},
-        {"platform", store_url(from, place.region, platform_port)},
-        {"address_rewrites", rewrites(from, place.region, machine.kind)}};
+        {"platform",
+         store_url(fleet_layout, failure_domain.region, platform_port)},
+        {"address_rewrites",
+         rewrites(fleet_layout, failure_domain.region, machine.kind)}};
     if (machine.kind == vm_kind::entry)
     {
         settings["caller_port"] = caller_port;
@@ -205,39 +219,41 @@
     }
     settings["endpoint"] =
         "http://" + machine.address + ":" + std::to_string(endpoint_port);
-    auto const origin =
-        through_link(from, region_index(from, place.region), machine.address);
+    auto const origin = through_link(
+        fleet_layout, region_index(fleet_layout, failure_domain.region),
+        machine.address);
     settings["origin"] = "http://" + origin + ":" + std::to_string(origin_port);
-    settings["distribution"] = from.distribution;
-    if (place.region != from.store_region)
+    settings["distribution"] = fleet_layout.distribution;
+    if (failure_domain.region != fleet_layout.store_region)
     {
-        settings["origin_link_mbit"] = from.region_bits_per_second / 1'000'000;
+        settings["origin_link_mbit"] =
+            fleet_layout.region_bits_per_second / 1'000'000;
     }
     settings["weights_port"] = weights_port;
     settings["memory_mib"] = engine_memory_mib;
     if (machine.kind == vm_kind::booking)
     {
-        settings["service"] = from.booking_service;
+        settings["service"] = fleet_layout.booking_service;
     }
     if (machine.kind == vm_kind::supporting)
     {
-        settings["service"] = from.supporting_service;
+        settings["service"] = fleet_layout.supporting_service;
     }
     return settings;
 }
 
 json standin_settings(
-    deployment const& from,
+    deployment const& fleet_layout,
     std::vector<vm> const& vms,
     std::vector<origin_version> const& versions)
 {
     json settings;
     settings["platform"] = {
-        {"address", store_address(from)},
+        {"address", store_address(fleet_layout)},
         {"port", platform_port},
-        {"vms", listed_vms(from, vms)}};
+        {"vms", listed_vms(fleet_layout, vms)}};
     settings["origin"] = {
-        {"address", store_address(from)},
+        {"address", store_address(fleet_layout)},
         {"port", origin_port},
         {"versions", json::array()}};
     for (auto const& version : versions)
@@ -264,7 +280,7 @@
             settings["services"].push_back(std::move(entry));
         }
     }
-    settings["links"] = links(from, vms);
+    settings["links"] = links(fleet_layout, vms);
     return settings;
 }
 
--- a/tools/scenario/src/settings_writer.hpp
+++ b/tools/scenario/src/settings_writer.hpp
@@ -9,7 +9,7 @@
 namespace foxtailvale::scenario
 {
 
-// Weights that the origin has, made from a seed.
+// Weights that the origin offers, generated from a seed.
 struct origin_version
 {
     std::uint64_t seed = 0;
@@ -17,12 +17,12 @@
     std::uint32_t chunk_bytes = 0;
 };
 
-// Settings of one entry or agent.
-nlohmann::json node_settings(deployment const& from, vm const& machine);
+// Returns the settings of an entry or agent.
+nlohmann::json node_settings(deployment const& fleet_layout, vm const& machine);
 
-// Settings of the one process that hosts all stand-ins.
+// Returns the settings of the process that hosts all stand-ins.
 nlohmann::json standin_settings(
-    deployment const& from,
+    deployment const& fleet_layout,
     std::vector<vm> const& vms,
     std::vector<origin_version> const& versions);
 
--- a/tools/scenario/src/vm_links.cpp
+++ b/tools/scenario/src/vm_links.cpp
@@ -10,8 +10,8 @@
 
 using nlohmann::json;
 
-// Names of agents' VMs by address, and by the addresses under which they or
-// the origin's routes for them listen on a link.
+// Finds the names of agents' VMs by their own addresses and by the link
+// addresses on which they, or their routes to the origin, listen.
 class vm_names
 {
 public:
@@ -35,7 +35,7 @@
         }
     }
 
-    // Empty when the address is no agent's.
+    // Returns an empty name if the address does not belong to an agent.
     std::string find(std::string const& address) const
     {
         auto const found =
@@ -78,19 +78,19 @@
     return bytes;
 }
 
-double most_copies(
+double max_copies(
     std::map<std::string, std::uint64_t> const& before,
     std::map<std::string, std::uint64_t> const& after,
     std::uint64_t model_bytes)
 {
-    std::uint64_t most = 0;
+    std::uint64_t max_bytes = 0;
     for (auto const& [name, bytes] : after)
     {
         auto const earlier = before.find(name);
-        auto const old = earlier == before.end() ? 0 : earlier->second;
-        most = std::max(most, bytes - old);
+        auto const previous = earlier == before.end() ? 0 : earlier->second;
+        max_bytes = std::max(max_bytes, bytes - previous);
     }
-    return static_cast<double>(most) / static_cast<double>(model_bytes);
+    return static_cast<double>(max_bytes) / static_cast<double>(model_bytes);
 }
 
 } // namespace foxtailvale::scenario
--- a/tools/scenario/src/vm_links.hpp
+++ b/tools/scenario/src/vm_links.hpp
@@ -10,13 +10,14 @@
 namespace foxtailvale::scenario
 {
 
-// Bytes in and out of each VM's link that agents exchanged with one another
-// and with the origin, by VM, as the links counted them. Callers' traffic is
-// not in it.
+// Returns, for each VM with an agent, the bytes in and out of its link that
+// agents exchanged with each other and with the origin, as counted by the
+// links. Callers' traffic is not included.
 std::map<std::string, std::uint64_t> agent_link_bytes(fleet& running);
 
-// The most loaded link between two counts, in copies of the model.
-double most_copies(
+// Returns the traffic of the most loaded link between two counts, in copies of
+// the model.
+double max_copies(
     std::map<std::string, std::uint64_t> const& before,
     std::map<std::string, std::uint64_t> const& after,
     std::uint64_t model_bytes);
--- a/tools/scenario/tests/scenario_file_tests.cpp
+++ b/tools/scenario/tests/scenario_file_tests.cpp
@@ -17,7 +17,7 @@
 
 std::filesystem::path const source(FOXTAILVALE_SOURCE);
 
-std::set<std::string> files_that_stand()
+std::set<std::string> scenario_paths()
 {
     std::set<std::string> found;
     for (auto const& entry :
@@ -39,8 +39,8 @@
     return text.str();
 }
 
-// All texts in backticks that look like a path.
-std::set<std::string> paths_named(std::string const& page)
+// Returns all texts in backticks that look like a path.
+std::set<std::string> paths_in_backticks(std::string const& page)
 {
     std::set<std::string> found;
     std::regex const path("`([a-z_]+/[A-Za-z0-9_./-]+)`");
@@ -56,7 +56,7 @@
 
 TEST(scenario_files, all_can_be_read)
 {
-    auto const files = files_that_stand();
+    auto const files = scenario_paths();
     EXPECT_GE(files.size(), 25U);
     for (auto const& file : files)
     {
@@ -65,20 +65,21 @@
     }
 }
 
-TEST(scenario_files, the_page_of_promises_names_what_stands_and_all_of_it)
+TEST(scenario_files, promises_page_lists_all_scenarios_and_only_existing_paths)
 {
-    auto const named = paths_named(read_page("PROMISES.md"));
-    for (auto const& path : named)
+    auto const listed = paths_in_backticks(read_page("PROMISES.md"));
+    for (auto const& path : listed)
     {
         EXPECT_TRUE(std::filesystem::exists(source / path)) << path;
     }
-    for (auto const& file : files_that_stand())
+    for (auto const& file : scenario_paths())
     {
-        EXPECT_TRUE(named.contains(file)) << file << " stands in no cell";
+        EXPECT_TRUE(listed.contains(file))
+            << file << " is not listed in PROMISES.md";
     }
 }
 
-// An operator misspells a step or a VM: the run must not start and hold
+// Guards against a run that starts despite a misspelt step or VM and passes
 // because nothing happened.
 TEST(scenario_files, a_misspelt_step_or_target_is_a_fault)
 {
@@ -96,9 +97,9 @@
     EXPECT_NE(faults.find("no such VM"), std::string::npos) << faults;
 }
 
-// A seed that broke a promise is kept as a file: it must be the same plan, and
-// a file that can be read.
-TEST(chaos, a_seed_is_a_plan_and_can_be_kept)
+// A seed that broke a promise is saved as a file: the same seed must give the
+// same plan, and the file must be readable and give that plan.
+TEST(chaos, a_seed_is_reproducible_and_can_be_saved)
 {
     auto const fleet_path =
         (source / "scenarios/deployments/two-domains.json").string();
@@ -109,11 +110,11 @@
         auto const text = to_text(make_chaos(fleet, seed), fleet_path);
         EXPECT_EQ(text, to_text(make_chaos(fleet, seed), fleet_path));
         EXPECT_NE(text, to_text(make_chaos(fleet, seed + 1), fleet_path));
-        auto const kept =
+        auto const saved_path =
             std::filesystem::path(testing::TempDir()) / "chaos.json";
-        std::ofstream(kept) << text;
+        std::ofstream(saved_path) << text;
         std::string faults;
-        auto const read = load_scenario(kept.string(), faults);
+        auto const read = load_scenario(saved_path.string(), faults);
         ASSERT_TRUE(read.has_value()) << faults;
         EXPECT_EQ(to_text(*read, fleet_path), text);
     }
