--- a/libs/entry_core/src/attempt_flow.cpp
+++ b/libs/entry_core/src/attempt_flow.cpp
@@ -500,8 +500,9 @@
     if (!output.error().empty())
     {
         attempt_failed(
-            state, *open, {base::kind_named(output.error()), output.detail()},
-            now, out);
+            state, *open,
+            {base::error_kind_from_name(output.error()), output.detail()}, now,
+            out);
         return;
     }
     auto fault = continuity_error(*open, output);
--- a/libs/release/src/object_reader.cpp
+++ b/libs/release/src/object_reader.cpp
@@ -14,22 +14,23 @@
     return source.value.contains(pointer) ? &source.value.at(pointer) : nullptr;
 }
 
+// Escapes a key for use in a JSON pointer.
 std::string escaped(std::string_view key)
 {
     std::string text;
-    for (char const letter : key)
+    for (char const character : key)
     {
-        text += letter == '~'   ? "~0"
-                : letter == '/' ? "~1"
-                                : std::string(1, letter);
+        text += character == '~'   ? "~0"
+                : character == '/' ? "~1"
+                                   : std::string(1, character);
     }
     return text;
 }
 
-std::string range_text(std::uint64_t least, std::uint64_t most)
+std::string range_text(std::uint64_t min_value, std::uint64_t max_value)
 {
-    return "must be a whole number from " + std::to_string(least) + " to " +
-           std::to_string(most);
+    return "must be a whole number from " + std::to_string(min_value) + " to " +
+           std::to_string(max_value);
 }
 
 } // namespace
@@ -41,7 +42,7 @@
 {
     if (this->object != nullptr && !this->object->is_object())
     {
-        this->complain("", "must be an object");
+        this->add_fault("", "must be an object");
         this->object = nullptr;
     }
 }
@@ -69,7 +70,7 @@
     }
 }
 
-void object_reader::complain(std::string_view key, std::string what)
+void object_reader::add_fault(std::string_view key, std::string what)
 {
     auto const where = this->path_of(key);
     this->faults->push_back({this->position_of(where), where, std::move(what)});
@@ -89,7 +90,7 @@
 {
     if (this->value_at(key) == nullptr)
     {
-        this->complain(key, "is missing");
+        this->add_fault(key, "is missing");
         return {};
     }
     return this->text_or(key, {});
@@ -104,28 +105,28 @@
     }
     if (!value->is_string() || value->get_ref<std::string const&>().empty())
     {
-        this->complain(key, "must be a text that is not empty");
+        this->add_fault(key, "must be a text that is not empty");
         return fallback;
     }
     return value->get<std::string>();
 }
 
 std::uint64_t object_reader::number(
-    std::string_view key, std::uint64_t least, std::uint64_t most)
+    std::string_view key, std::uint64_t min_value, std::uint64_t max_value)
 {
     if (this->value_at(key) == nullptr)
     {
-        this->complain(key, "is missing");
-        return least;
+        this->add_fault(key, "is missing");
+        return min_value;
     }
-    return this->number_or(key, least, least, most);
+    return this->number_or(key, min_value, min_value, max_value);
 }
 
 std::uint64_t object_reader::number_or(
     std::string_view key,
     std::uint64_t fallback,
-    std::uint64_t least,
-    std::uint64_t most)
+    std::uint64_t min_value,
+    std::uint64_t max_value)
 {
     auto const* const value = this->value_at(key);
     if (value == nullptr)
@@ -134,13 +135,13 @@
     }
     if (!value->is_number_unsigned())
     {
-        this->complain(key, range_text(least, most));
+        this->add_fault(key, range_text(min_value, max_value));
         return fallback;
     }
     auto const number = value->get<std::uint64_t>();
-    if (number < least || number > most)
+    if (number < min_value || number > max_value)
     {
-        this->complain(key, range_text(least, most));
+        this->add_fault(key, range_text(min_value, max_value));
         return fallback;
     }
     return number;
@@ -149,15 +150,15 @@
 std::chrono::milliseconds object_reader::milliseconds_or(
     std::string_view key,
     std::chrono::milliseconds fallback,
-    std::chrono::milliseconds least,
-    std::chrono::milliseconds most)
+    std::chrono::milliseconds min_value,
+    std::chrono::milliseconds max_value)
 {
     auto const count = [](std::chrono::milliseconds time)
     {
         return static_cast<std::uint64_t>(time.count());
     };
-    return std::chrono::milliseconds(
-        this->number_or(key, count(fallback), count(least), count(most)));
+    return std::chrono::milliseconds(this->number_or(
+        key, count(fallback), count(min_value), count(max_value)));
 }
 
 bool object_reader::flag_or(std::string_view key, bool fallback)
@@ -169,7 +170,7 @@
     }
     if (!value->is_boolean())
     {
-        this->complain(key, "must be true or false");
+        this->add_fault(key, "must be true or false");
         return fallback;
     }
     return value->get<bool>();
@@ -185,14 +186,14 @@
     }
     if (!value->is_array())
     {
-        this->complain(key, "must be a list of texts");
+        this->add_fault(key, "must be a list of texts");
         return texts;
     }
     for (auto const& element : *value)
     {
         if (!element.is_string())
         {
-            this->complain(key, "must hold texts only");
+            this->add_fault(key, "must hold texts only");
             continue;
         }
         texts.push_back(element.get<std::string>());
@@ -235,7 +236,7 @@
     }
     if (!value->is_array())
     {
-        this->complain(key, "must be a list");
+        this->add_fault(key, "must be a list");
         return 0;
     }
     return value->size();
@@ -257,7 +258,7 @@
     {
         if (!this->known.contains(name))
         {
-            this->complain(name, "is not a known key");
+            this->add_fault(name, "is not a known key");
         }
     }
 }
