--- a/libs/direct/tests/callers_left_tests.cpp
+++ b/libs/direct/tests/callers_left_tests.cpp
@@ -29,7 +29,7 @@
 }
 
 // Of the requests whose callers disconnected while an engine had them, at most
-// a quarter may pause be worked on 0.5 s later.
+// a quarter may still be worked on 0.5 s later.
 void expect_work_stopped(fleet_scenario scenario)
 {
     for (std::uint64_t seed = 1; seed <= 6; ++seed)
